--- a/celerytrail/policies/admitters.py
+++ b/celerytrail/policies/admitters.py
@@ -1,4 +1,4 @@
-"""Ways to decide when and where a generation starts, by what a node knows alone."""
+"""An admitter that decides by the node's own knowledge only."""
 
 from __future__ import annotations
 
@@ -15,14 +15,14 @@
 
 
 class LocalAdmitter(Admitter):
-    """Grants the engine with the least of this node's own generations, at once.
+    """Grants, at once, the engine that runs the fewest of this node's generations.
 
-    It is the plain baseline, and the fall-back that needs nobody else.
+    It is a baseline, and a fallback that depends on no other node.
 
     Parameters
     ----------
     configuration : Configuration
-        Names the engines.
+        Provides the engines.
     """
 
     def __init__(self, *, configuration: Configuration) -> None:
@@ -31,7 +31,7 @@
         self._grants: dict[str, str] = {}
 
     async def admit(self, req: AdmitRequest) -> Result[Grant, NotRun]:
-        """Grant an engine that serves the model, or refuse at once."""
+        """Grant the least loaded engine that serves the model, or refuse at once."""
         document = self._configuration.current.document
         names = [
             engine.name
@@ -57,10 +57,10 @@
         return Ok(grant)
 
     def progress(self, grant: Grant, n_tokens: int) -> None:
-        """Take no note: only the number of generations counts here."""
+        """Do nothing, as only the number of generations counts."""
 
     def finish(self, grant: Grant, n_tokens: int, end: GenerationEnd) -> None:
-        """Free the place, once."""
+        """Remove the generation from its engine's count, once."""
         name = self._grants.pop(grant.grant_id, None)
         if name is not None:
             self._n_outstanding[name] -= 1
--- a/celerytrail/policies/engineview.py
+++ b/celerytrail/policies/engineview.py
@@ -1,7 +1,7 @@
-"""What one node knows of engines: their last reports and its own work since.
+"""A node's state of engines: their latest reports and the node's own grants since.
 
-Homes and entry nodes keep the same books. Reports come late, some not at all, and a
-few are wrong; so what was granted here is counted here, and the two are compared.
+Homes and entry nodes use the same state. Reports arrive late or not at all, and a few
+are wrong; so a node counts its own grants and reconciles the reports with them.
 """
 
 from __future__ import annotations
@@ -13,18 +13,20 @@
 from .grants import AdmitRequest
 from .reports import EngineReport
 
-# Without any report an engine is taken to be small, so that it isn't flooded.
+# Memory assumed for an engine without a report; it is small to avoid overload.
 UNKNOWN_MEMORY_TOKENS = 4096
-# A grant that shows no life for so long, neither by progress nor in a report, is
-# dropped: its entry node died before it started, and its room would stay taken.
-GRANT_SILENCE = 30.0
-# Ids of ended generations are kept this long, as late reports still list them.
-RECENT = 10.0
-# Reported use under this share of what was granted and has shown progress is a lie.
-LIE_SHARE = 0.7
-# Neither reports nor progress for this long: no new work is sent there.
-SILENT_AFTER = 6.0
-RATE_GAIN = 0.2
+# A grant that appears neither in progress nor in reports for this long is ended. Its
+# entry node died before starting it, and its memory would stay reserved.
+GRANT_SILENCE_SECONDS = 30.0
+# Ids of ended generations are kept for this long, as late reports still list them.
+ENDED_KEPT_SECONDS = 10.0
+# A report is implausible if it states less than this share of the memory used by
+# granted generations that have made progress.
+MIN_REPORTED_SHARE = 0.7
+# An engine without reports and progress for this long gets no new work.
+ENGINE_SILENCE_SECONDS = 6.0
+# Weight of a new sample in the moving average of an engine's stream rate.
+STREAM_RATE_GAIN = 0.2
 
 
 @dataclass(kw_only=True, slots=True)
@@ -34,13 +36,14 @@
     Parameters
     ----------
     organisation : str
-        Whose it is; empty for one that another node granted.
+        The organisation it runs for; empty if another node granted it.
     n_prompt_tokens, n_tokens : int
-        Tokens of its prompt, and produced so far.
+        Tokens in the prompt, and produced so far.
     n_max_tokens : int
-        The most it may produce.
+        The most tokens it may produce.
     granted_at, progress_at : float
-        When it was granted and when it last showed life; monotonic seconds.
+        When it was granted, and when progress or a report last confirmed it;
+        monotonic seconds.
     """
 
     organisation: str
@@ -53,46 +56,53 @@
 
 @dataclass(kw_only=True, slots=True)
 class EngineView:
-    """The books on one engine."""
+    """A node's state of one engine."""
 
     name: str
     spec: EngineSpec
     report: EngineReport | None = None
     # When the report was true, on this process's monotonic clock.
     reported_at: float = float("-inf")
+    # The latest of: when the engine was added, a report was true, progress arrived.
     heard_at: float = float("-inf")
+    # This node's generations by grant id, and those that only reports list.
     running: dict[str, Running] = field(default_factory=dict)
     foreign: dict[str, Running] = field(default_factory=dict)
+    # When recently ended generations ended, by grant id.
     ended: dict[str, float] = field(default_factory=dict)
     n_own_tokens: int = 0
-    n_extra_tokens: int = 0
+    # Reported use that no known generation accounts for.
+    n_unexplained_tokens: int = 0
     n_granted: int = 0
-    n_lies: int = 0
+    # Implausibly low reports in a row.
+    n_underreports: int = 0
+    # Reported preemptions that the admission policy hasn't handled yet.
     n_new_preemptions: int = 0
+    # Tokens per second and generation, as a moving average.
     stream_rate: float = 0.0
-    # Rises with each change that a forecast must take in.
+    # Rises with each change that invalidates a forecast.
     n_changes: int = 0
 
     @property
     def n_memory_tokens(self) -> int:
-        """Tokens the engine's memory holds, as it says."""
+        """Capacity of the engine's memory in tokens, as reported."""
         if self.report is None:
             return UNKNOWN_MEMORY_TOKENS
         return self.report.n_memory_tokens
 
     @property
     def n_used_tokens(self) -> int:
-        """Tokens in its memory by these books: own, other nodes' and unexplained."""
+        """Tokens in use: this node's, other nodes' and unexplained ones."""
         foreign = sum(r.n_prompt_tokens + r.n_tokens for r in self.foreign.values())
-        return self.n_own_tokens + foreign + self.n_extra_tokens
+        return self.n_own_tokens + foreign + self.n_unexplained_tokens
 
     @property
     def n_running(self) -> int:
-        """Generations on it by these books."""
+        """Number of known generations on the engine."""
         return len(self.running) + len(self.foreign)
 
     def accepts(self, req: AdmitRequest, now: float) -> bool:
-        """Whether new work may be sent there at all."""
+        """Return whether the request may be sent to this engine at all."""
         if self.spec.role == "drain" or self.name in req.excluded:
             return False
         report = self.report
@@ -104,18 +114,18 @@
             return False
         if req.adapter and req.adapter not in report.adapters:
             return False
-        return now - self.heard_at <= SILENT_AFTER
+        return now - self.heard_at <= ENGINE_SILENCE_SECONDS
 
 
 class EngineBook:
-    """The books on all engines that a node decides about."""
+    """Holds the state of all engines that a node sends work to."""
 
     def __init__(self) -> None:
         self.views: dict[str, EngineView] = {}
         self._engine_of: dict[str, str] = {}
 
     def set_engines(self, specs: Sequence[EngineSpec], now: float) -> None:
-        """Keep books on just these engines; what is known of them stays."""
+        """Set the engines to track; state of engines that stay is kept."""
         wanted = {spec.name: spec for spec in specs}
         for name in [name for name in self.views if name not in wanted]:
             view = self.views.pop(name)
@@ -129,7 +139,7 @@
                 known.spec = spec
 
     def view_of(self, grant_id: str) -> EngineView | None:
-        """Return the engine that a grant is on, where it is known."""
+        """Return the state of a grant's engine; None if the grant is unknown."""
         return self.views.get(self._engine_of.get(grant_id, ""))
 
     def candidates(self, req: AdmitRequest, now: float) -> list[EngineView]:
@@ -145,7 +155,7 @@
         *,
         n_tokens: int = 0,
     ) -> None:
-        """Enter a generation that was sent, or is known to run, on an engine."""
+        """Add a generation that was granted, or is known to run, on an engine."""
         view = self.views.get(engine)
         if view is None or grant_id in view.running:
             return
@@ -163,13 +173,13 @@
         self._engine_of[grant_id] = engine
 
     def progress(self, grant_id: str, n_tokens: int, now: float) -> Running | None:
-        """Enter how many tokens a generation has produced; None where unknown."""
+        """Record a generation's number of tokens; return None if it is unknown."""
         view = self.view_of(grant_id)
         if view is None:
             return None
         run = view.running[grant_id]
         if n_tokens > run.n_tokens:
-            _learn_rate(view, run, n_tokens, now)
+            _update_stream_rate(view, run, n_tokens, now)
             view.n_own_tokens += n_tokens - run.n_tokens
             run.n_tokens = n_tokens
             run.progress_at = now
@@ -177,7 +187,7 @@
         return run
 
     def finish(self, grant_id: str, now: float) -> Running | None:
-        """Strike a generation off; None where it is unknown."""
+        """Remove a generation and return it; None if it is unknown."""
         view = self.view_of(grant_id)
         if view is None:
             return None
@@ -189,12 +199,12 @@
         return run
 
     def report(self, report: EngineReport, now: float, *, age: float = 0.0) -> bool:
-        """Take in an engine's report.
+        """Apply an engine's report.
 
         Parameters
         ----------
         report : EngineReport
-            What the engine says.
+            The engine's report.
         now : float
             Monotonic time.
         age : float
@@ -203,7 +213,8 @@
         Returns
         -------
         bool
-            Whether it was news: reports that overtook each other are dropped.
+            Whether the report was applied. Reports of unknown engines, and those that
+            arrive after a later one, are dropped.
         """
         view = self.views.get(report.engine)
         if view is None:
@@ -214,30 +225,32 @@
                 return False
             view.n_new_preemptions += max(0, report.n_preemptions - old.n_preemptions)
         elif old is not None:
-            # A new incarnation holds nothing of what was sent to the former.
+            # A new incarnation holds none of the generations sent to the previous one.
             for grant_id in list(view.running):
                 if view.running[grant_id].granted_at < now - age:
                     self.finish(grant_id, now)
         view.report = report
         view.reported_at = now - max(0.0, age)
         view.heard_at = max(view.heard_at, view.reported_at)
-        self._compare(view, now)
+        self._reconcile(view, now)
         view.n_changes += 1
         return True
 
     def silent_grants(self, now: float) -> Iterable[str]:
-        """Return the grants that have shown no life for too long."""
+        """Yield the ids of grants without progress or report for too long."""
         for view in self.views.values():
             for grant_id, run in list(view.running.items()):
-                if now - run.progress_at > GRANT_SILENCE:
+                if now - run.progress_at > GRANT_SILENCE_SECONDS:
                     yield grant_id
 
-    def _compare(self, view: EngineView, now: float) -> None:
+    def _reconcile(self, view: EngineView, now: float) -> None:
         report = view.report
         assert report is not None
-        for grant_id in [g for g, at in view.ended.items() if now - at > RECENT]:
+        for grant_id in [
+            g for g, at in view.ended.items() if now - at > ENDED_KEPT_SECONDS
+        ]:
             del view.ended[grant_id]
-        others = {}
+        foreign_tokens = {}
         for grant_id, n_tokens in report.running:
             if grant_id in view.running:
                 run = view.running[grant_id]
@@ -245,28 +258,31 @@
                 view.n_own_tokens += max(0, n_tokens - run.n_tokens)
                 run.n_tokens = max(run.n_tokens, n_tokens)
             elif grant_id not in view.ended:
-                others[grant_id] = n_tokens
-        n_known = _tokens_at_report(view)
-        n_unexplained = max(0, report.n_used_tokens - n_known - sum(others.values()))
-        n_prompt = n_unexplained // len(others) if others else 0
+                foreign_tokens[grant_id] = n_tokens
+        n_known = _expected_use_at_report(view)
+        n_unexplained = max(
+            0, report.n_used_tokens - n_known - sum(foreign_tokens.values())
+        )
+        # Reports don't list prompts: the unexplained tokens are split evenly.
+        n_prompt_tokens = n_unexplained // len(foreign_tokens) if foreign_tokens else 0
         view.foreign = {
             grant_id: Running(
                 organisation="",
-                n_prompt_tokens=n_prompt,
+                n_prompt_tokens=n_prompt_tokens,
                 n_max_tokens=1 << 20,
                 granted_at=view.reported_at,
                 progress_at=view.reported_at,
                 n_tokens=n_tokens,
             )
-            for grant_id, n_tokens in others.items()
+            for grant_id, n_tokens in foreign_tokens.items()
         }
-        view.n_extra_tokens = 0 if others else n_unexplained
-        lied = report.n_used_tokens < LIE_SHARE * n_known - 256
-        view.n_lies = view.n_lies + 1 if lied else 0
+        view.n_unexplained_tokens = 0 if foreign_tokens else n_unexplained
+        is_implausible = report.n_used_tokens < MIN_REPORTED_SHARE * n_known - 256
+        view.n_underreports = view.n_underreports + 1 if is_implausible else 0
 
 
-def _tokens_at_report(view: EngineView) -> int:
-    # What was granted after the report was made can't be in it.
+def _expected_use_at_report(view: EngineView) -> int:
+    # The report can't include generations granted after it was made.
     n_tokens = 0
     for run in view.running.values():
         if run.granted_at < view.reported_at and run.n_tokens:
@@ -274,8 +290,10 @@
     return n_tokens
 
 
-def _learn_rate(view: EngineView, run: Running, n_tokens: int, now: float) -> None:
+def _update_stream_rate(
+    view: EngineView, run: Running, n_tokens: int, now: float
+) -> None:
     seconds = now - run.progress_at
     if run.n_tokens and seconds > 0:
         rate = (n_tokens - run.n_tokens) / seconds
-        view.stream_rate += RATE_GAIN * (rate - view.stream_rate)
+        view.stream_rate += STREAM_RATE_GAIN * (rate - view.stream_rate)
--- a/celerytrail/policies/fairness.py
+++ b/celerytrail/policies/fairness.py
@@ -1,9 +1,9 @@
-"""Fairness: whose waiting request is next, by tokens served to each organisation.
+"""Fair queueing: orders waiting requests by the tokens served to each organisation.
 
-A virtual token counter per organisation, after Sheng et al., "Fairness in Serving
-Large Language Models" (2024): the organisation that has had the least, by its weight,
-goes first. What a generation will cost is charged at its grant by forecast, and
-corrected as its tokens come.
+Each organisation has a virtual token counter, after Sheng et al., "Fairness in Serving
+Large Language Models" (2024). The organisation with the least service in proportion to
+its weight goes first. A generation's forecast cost is charged at its grant and
+corrected as its tokens are produced.
 """
 
 from __future__ import annotations
@@ -15,18 +15,19 @@
 
 from .grants import AdmitRequest
 
-# A prompt token costs an engine far less than a generated one.
-PROMPT_COST = 0.25
-# Each step of priority multiplies an organisation's weight, so that a higher one is
-# served sooner and a lower one is never starved.
+# Cost of a prompt token relative to a generated one; prefill is far cheaper per token
+# than decode.
+PROMPT_TOKEN_COST = 0.25
+# Each step of priority multiplies an organisation's weight by this, so that a higher
+# priority is served sooner and a lower one never starves.
 PRIORITY_FACTOR = 1.5
 PRIORITY_NORMAL = 5
-# Idle organisations beyond this number are forgotten, least recently active first.
-N_IDLE_KEPT = 8192
+# The most accounts of idle organisations kept; the oldest account is dropped first.
+MAX_IDLE_ACCOUNTS = 8192
 
 
 class WaitingQueue(abc.ABC):
-    """Holds waiting requests and says in which order they are to be tried."""
+    """Holds waiting requests and the order in which to try them."""
 
     @abc.abstractmethod
     def push(self, req: AdmitRequest) -> None:
@@ -34,15 +35,15 @@
 
     @abc.abstractmethod
     def remove(self, request_id: str) -> AdmitRequest | None:
-        """Take a request out, wherever it stands; None where it isn't there."""
+        """Remove a request from any position; return None if it isn't queued."""
 
     @abc.abstractmethod
     def heads(self) -> Iterator[AdmitRequest]:
-        """Return the requests that may be granted next, the first in line first."""
+        """Return the requests that may be granted next, head of the line first."""
 
     @abc.abstractmethod
     def charge(self, organisation: str, n_tokens: float) -> None:
-        """Charge an organisation with service, or give it back when negative."""
+        """Charge an organisation for service; a negative number is a refund."""
 
     @abc.abstractmethod
     def __len__(self) -> int:
@@ -58,7 +59,7 @@
     served : float
         Virtual tokens: tokens served, divided by the organisation's weight.
     weight : float
-        Its weight, with its priority worked in.
+        The weight, adjusted by priority.
     """
 
     served: float = 0.0
@@ -67,40 +68,44 @@
 
 
 class FairQueue(WaitingQueue):
-    """The organisation with the least service by weight goes first."""
+    """Puts the organisation with the least service by weight first."""
 
     def __init__(self) -> None:
         self._accounts: dict[str, Account] = {}
         self._requests: dict[str, AdmitRequest] = {}
-        self._busy: set[str] = set()
-        # The counter of whoever was served last: the level that idle ones rejoin at.
-        self._level = 0.0
+        self._backlogged: set[str] = set()
+        # The lowest counter of the waiting organisations, as of the last charge; it
+        # never falls. New organisations start at it, and so do idle ones that rejoin
+        # while none wait.
+        self._virtual_time = 0.0
 
     def __len__(self) -> int:
         return len(self._requests)
 
     def get(self, request_id: str) -> AdmitRequest | None:
-        """Return a waiting request, where it is there."""
+        """Return a waiting request, or None."""
         return self._requests.get(request_id)
 
     def push(self, req: AdmitRequest) -> None:
-        """Add a request at the end of its organisation's line."""
+        """Add a request at the end of its organisation's queue."""
         account = self._accounts.get(req.organisation)
         if account is None:
-            account = self._accounts[req.organisation] = Account(served=self._level)
-            self._forget_idle()
+            account = self._accounts[req.organisation] = Account(
+                served=self._virtual_time
+            )
+            self._drop_idle_account()
         account.weight = effective_weight(req.weight, req.priority)
         if not account.waiting:
-            # Whoever was idle joins at the level of those that wait. Were the credit
-            # of the idle time kept, the organisation could lock all others out for
-            # just as long with one burst.
-            account.served = max(account.served, self._floor())
-            self._busy.add(req.organisation)
+            # An organisation that was idle joins at the level of those that wait. If
+            # it kept credit for its idle time, it could lock out all others for just
+            # as long with one burst.
+            account.served = max(account.served, self._least_served())
+            self._backlogged.add(req.organisation)
         account.waiting.append(req)
         self._requests[req.request_id] = req
 
     def remove(self, request_id: str) -> AdmitRequest | None:
-        """Take a request out."""
+        """Remove a request from the queue."""
         req = self._requests.pop(request_id, None)
         if req is None:
             return None
@@ -110,51 +115,51 @@
         else:
             account.waiting.remove(req)
         if not account.waiting:
-            self._busy.discard(req.organisation)
+            self._backlogged.discard(req.organisation)
         return req
 
     def heads(self) -> Iterator[AdmitRequest]:
         """Return each organisation's first request, least served first."""
         accounts = self._accounts
-        for name in sorted(self._busy, key=lambda name: accounts[name].served):
+        for name in sorted(self._backlogged, key=lambda name: accounts[name].served):
             yield accounts[name].waiting[0]
 
     def charge(self, organisation: str, n_tokens: float) -> None:
-        """Charge an organisation with service."""
+        """Charge an organisation for service, divided by its weight."""
         account = self._accounts.get(organisation)
         if account is not None:
             account.served += n_tokens / account.weight
-            if n_tokens > 0 and organisation in self._busy:
-                self._level = max(self._level, self._floor())
+            if n_tokens > 0 and organisation in self._backlogged:
+                self._virtual_time = max(self._virtual_time, self._least_served())
 
     def share(self, organisation: str, weight: float) -> float:
-        """Return the share of the pool that an organisation gets among those busy."""
-        total = sum(self._accounts[name].weight for name in self._busy)
-        if organisation not in self._busy:
+        """Return an organisation's share of the pool among those that wait, 0 to 1."""
+        total = sum(self._accounts[name].weight for name in self._backlogged)
+        if organisation not in self._backlogged:
             total += weight
         return weight / total if total else 1.0
 
     def n_waiting(self, organisation: str) -> int:
-        """Return how many requests of an organisation wait."""
+        """Return the number of an organisation's waiting requests."""
         account = self._accounts.get(organisation)
         return len(account.waiting) if account is not None else 0
 
-    def _floor(self) -> float:
-        if not self._busy:
-            return self._level
-        return min(self._accounts[name].served for name in self._busy)
+    def _least_served(self) -> float:
+        if not self._backlogged:
+            return self._virtual_time
+        return min(self._accounts[name].served for name in self._backlogged)
 
-    def _forget_idle(self) -> None:
-        if len(self._accounts) <= N_IDLE_KEPT + len(self._busy):
+    def _drop_idle_account(self) -> None:
+        if len(self._accounts) <= MAX_IDLE_ACCOUNTS + len(self._backlogged):
             return
         for name in self._accounts:
-            if name not in self._busy:
+            if name not in self._backlogged:
                 del self._accounts[name]
                 return
 
 
 class ArrivalQueue(WaitingQueue):
-    """First come, first served, whoever it is; a baseline."""
+    """Serves in order of arrival regardless of organisation; a baseline."""
 
     def __init__(self) -> None:
         self._requests: dict[str, AdmitRequest] = {}
@@ -167,7 +172,7 @@
         self._requests[req.request_id] = req
 
     def remove(self, request_id: str) -> AdmitRequest | None:
-        """Take a request out."""
+        """Remove a request from the queue."""
         return self._requests.pop(request_id, None)
 
     def heads(self) -> Iterator[AdmitRequest]:
@@ -175,9 +180,9 @@
         yield from list(self._requests.values())[:1]
 
     def charge(self, organisation: str, n_tokens: float) -> None:
-        """Do nothing: nobody is charged."""
+        """Do nothing, as the order doesn't depend on service."""
 
 
 def effective_weight(weight: float, priority: int) -> float:
-    """Return an organisation's weight with its priority worked in."""
+    """Return an organisation's weight, adjusted by its priority."""
     return max(weight, 1e-3) * PRIORITY_FACTOR ** (priority - PRIORITY_NORMAL)
--- a/celerytrail/policies/lengths.py
+++ b/celerytrail/policies/lengths.py
@@ -1,9 +1,12 @@
-"""Lengths: how long generations turn out, learned per model and organisation.
+"""Length forecasts: how many tokens generations produce, per model and organisation.
 
-Kept as a life table: for each bucket of lengths, how many generations left it and how
-many of those ended in it. A running or cancelled generation thus tells what it knows,
-that it got so far. A plain histogram of ended ones would hold only the short ones at
-first, and every forecast made from it would be too low.
+Lengths are kept as a life table: for each bucket of lengths, the number of generations
+that left it and of those that ended in it. So a running or cancelled generation counts
+as well, as one that reached a known length. A plain histogram of ended generations
+would hold only the short ones at first, and its forecasts would be too low.
+
+The ``model`` arguments of this module may be any key under which lengths are learned,
+such as the names that `prompt_class` returns.
 """
 
 from __future__ import annotations
@@ -16,48 +19,54 @@
 
 BUCKETS_PER_DOUBLING = 2
 N_BUCKETS = 34  # Lengths to 2**17 tokens; the last bucket is open.
-EDGES = tuple(2.0 ** (b / BUCKETS_PER_DOUBLING) - 1.0 for b in range(N_BUCKETS + 1))
+BUCKET_EDGES = tuple(
+    2.0 ** (b / BUCKETS_PER_DOUBLING) - 1.0 for b in range(N_BUCKETS + 1)
+)
 
-# With nothing learned, lengths are taken as lognormal with this median (tokens) and
-# spread: about 600 tokens on average.
-COLD_MEDIAN = 200.0
+# The prior: lengths are lognormal with this median and this standard deviation of the
+# logarithm, which gives a mean of about 600 tokens.
+COLD_MEDIAN_TOKENS = 200.0
 COLD_SIGMA = 1.5
-# How many observations the layer above counts for in a bucket.
+# The number of observations that the prior counts for in each bucket: the cold prior
+# in a model's table, and the model's table in an organisation's.
 COLD_WEIGHT = 4.0
 MODEL_WEIGHT = 24.0
-# Classes of prompts: by the number of bits of their size in tokens, within bounds.
+# Prompts are classed by the bit length of their number of tokens, within these bounds.
 CLASS_BITS_MIN = 8
 CLASS_BITS_MAX = 11
-# Counts are halved after so many ended generations, so that habits may change.
-MODEL_HALF_LIFE = 4000
-ORGANISATION_HALF_LIFE = 1000
-# A curve is worked out anew after this many ended generations, or this share of all.
-CURVE_LIFE = 8
+# The weight of a count halves after this many ended generations, so that the table
+# follows changes of usage.
+MODEL_HALF_LIFE_ENDINGS = 4000
+ORGANISATION_HALF_LIFE_ENDINGS = 1000
+# A curve is recomputed after this many ended generations or this share of the counted
+# ones, whichever is more.
+CURVE_LIFE_ENDINGS = 8
 CURVE_LIFE_SHARE = 0.02
-# Curves kept at one time, oldest dropped first.
-N_CURVES = 512
-# Rows of survival are kept for so many starting points in each bucket.
+# The most curves kept; the oldest are dropped first.
+MAX_CURVES = 512
+# Starting points per bucket for which survival rows are cached.
 ROWS_PER_BUCKET = 4
-# Drift: the sum of surprise to one side, in steps of -2 to 2, above which the old
-# counts are discounted, and the part of each step that is put down to chance.
+# Drift detection by a cumulative sum. Each ended generation adds a step of -2 to 2,
+# less the allowance for chance. Above the threshold, the old counts are reduced to the
+# kept share.
 DRIFT_THRESHOLD = 15.0
-DRIFT_SLACK = 0.5
-DRIFT_KEEP = 0.2
+DRIFT_ALLOWANCE = 0.5
+DRIFT_KEPT_SHARE = 0.2
 
 
 def _cold_survival(n_tokens: float) -> float:
-    score = math.log(max(n_tokens, 0.5) / COLD_MEDIAN) / COLD_SIGMA
-    return 0.5 * math.erfc(score / math.sqrt(2.0))
+    z_score = math.log(max(n_tokens, 0.5) / COLD_MEDIAN_TOKENS) / COLD_SIGMA
+    return 0.5 * math.erfc(z_score / math.sqrt(2.0))
 
 
 COLD_HAZARDS = [
-    1.0 - _cold_survival(EDGES[b + 1]) / _cold_survival(EDGES[b])
+    1.0 - _cold_survival(BUCKET_EDGES[b + 1]) / _cold_survival(BUCKET_EDGES[b])
     for b in range(N_BUCKETS)
 ]
 
 
 class Curve:
-    """The probability that a generation is longer than a number of tokens.
+    """Survival curve: the probability that a generation exceeds a number of tokens.
 
     Parameters
     ----------
@@ -69,62 +78,62 @@
 
     def __init__(self, *, hazards: list[float]) -> None:
         self._rows: dict[int, list[float]] = {}
-        logs = [0.0]
+        log_survival = [0.0]
         for hazard in hazards:
-            logs.append(logs[-1] + math.log1p(-min(hazard, 0.98)))
-        self._log_survival = logs
-        survivals = [math.exp(value) for value in logs]
+            log_survival.append(log_survival[-1] + math.log1p(-min(hazard, 0.98)))
+        self._log_survival = log_survival
+        survivals = [math.exp(value) for value in log_survival]
         area = [0.0] * (N_BUCKETS + 1)
         for b in range(N_BUCKETS - 1, -1, -1):
             mean = (survivals[b] + survivals[b + 1]) / 2
-            area[b] = area[b + 1] + mean * (EDGES[b + 1] - EDGES[b])
+            area[b] = area[b + 1] + mean * (BUCKET_EDGES[b + 1] - BUCKET_EDGES[b])
         self._area = area
 
     def log_survival(self, n_tokens: float) -> float:
-        """Return the logarithm of the probability to pass ``n_tokens``."""
-        place = BUCKETS_PER_DOUBLING * math.log2(n_tokens + 1.0)
-        b = int(place)
+        """Return the logarithm of the probability to exceed ``n_tokens``."""
+        position = BUCKETS_PER_DOUBLING * math.log2(n_tokens + 1.0)
+        b = int(position)
         logs = self._log_survival
         if b >= N_BUCKETS:
             return logs[N_BUCKETS]
-        return logs[b] + (place - b) * (logs[b + 1] - logs[b])
+        return logs[b] + (position - b) * (logs[b + 1] - logs[b])
 
     def survival_row(self, n_so_far: int, steps: Sequence[int]) -> list[float]:
-        """Return the probability to go on for each of ``steps`` more tokens.
+        """Return the probability to continue for each of ``steps`` more tokens.
 
-        Rows are kept for starting points about a tenth apart, as forecasts ask for
-        them by the hundred. ``steps`` must be the same at each call.
+        Forecasts need rows by the hundred, so they are cached for starting points that
+        are about a tenth apart. ``steps`` must be the same in each call.
         """
-        place = ROWS_PER_BUCKET * BUCKETS_PER_DOUBLING * math.log2(n_so_far + 1.0)
-        key = int(place)
+        position = ROWS_PER_BUCKET * BUCKETS_PER_DOUBLING * math.log2(n_so_far + 1.0)
+        key = int(position)
         row = self._rows.get(key)
         if row is None:
             start = 2.0 ** (key / (ROWS_PER_BUCKET * BUCKETS_PER_DOUBLING)) - 1.0
-            here = self.log_survival(start)
-            row = [math.exp(self.log_survival(start + n) - here) for n in steps]
+            at_start = self.log_survival(start)
+            row = [math.exp(self.log_survival(start + n) - at_start) for n in steps]
             self._rows[key] = row
         return row
 
     def expected_residual(self, n_so_far: float) -> float:
-        """Return the expected number of tokens still to come."""
-        place = BUCKETS_PER_DOUBLING * math.log2(n_so_far + 1.0)
-        b = int(place)
+        """Return the expected number of further tokens."""
+        position = BUCKETS_PER_DOUBLING * math.log2(n_so_far + 1.0)
+        b = int(position)
         if b >= N_BUCKETS:
             return 0.0
-        here = math.exp(self.log_survival(n_so_far))
-        end = math.exp(self._log_survival[b + 1])
-        rest = (here + end) / 2 * (EDGES[b + 1] - n_so_far)
-        return (rest + self._area[b + 1]) / here
+        survival_now = math.exp(self.log_survival(n_so_far))
+        survival_at_edge = math.exp(self._log_survival[b + 1])
+        area = (survival_now + survival_at_edge) / 2 * (BUCKET_EDGES[b + 1] - n_so_far)
+        return (area + self._area[b + 1]) / survival_now
 
     def quantile_residual(self, n_so_far: float, probability: float) -> float:
-        """Return the tokens to come that are not exceeded with ``probability``."""
+        """Return the number of further tokens not exceeded with ``probability``."""
         target = self.log_survival(n_so_far) + math.log(max(1.0 - probability, 1e-9))
         logs = self._log_survival
         b = int(BUCKETS_PER_DOUBLING * math.log2(n_so_far + 1.0))
         while b < N_BUCKETS and logs[b + 1] > target:
             b += 1
         if b >= N_BUCKETS:
-            return max(0.0, EDGES[N_BUCKETS] - n_so_far)
+            return max(0.0, BUCKET_EDGES[N_BUCKETS] - n_so_far)
         drop = logs[b] - logs[b + 1]
         share = (logs[b] - target) / drop if drop > 0 else 1.0
         n_tokens = 2.0 ** ((b + share) / BUCKETS_PER_DOUBLING) - 1.0
@@ -132,58 +141,61 @@
 
 
 class LifeTable:
-    """Decaying counts of generations that left each bucket, and ended in it."""
+    """Decaying counts of the generations that left each bucket or ended in it."""
 
     __slots__ = (
-        "_growth",
+        "_weight_growth",
         "ended",
-        "is_new",
+        "needs_curve",
         "left",
         "n_ended",
-        "n_new",
-        "n_seen",
-        "too_long",
-        "too_short",
+        "n_ended_since_curve",
+        "observation_weight",
+        "longer_drift",
+        "shorter_drift",
     )
 
     def __init__(self, *, half_life: int) -> None:
-        # Instead of decaying all counts at each observation, new ones weigh more.
-        self._growth = 0.5 ** (-1.0 / half_life)
+        # Instead of decaying all counts, each ended generation raises the weight of the
+        # later observations.
+        self._weight_growth = 0.5 ** (-1.0 / half_life)
         self.left = array("f", bytes(4 * N_BUCKETS))
         self.ended = array("f", bytes(4 * N_BUCKETS))
-        self.n_new = 0
+        self.n_ended_since_curve = 0
         self.n_ended = 0
-        self.n_seen = 1.0
-        self.too_long = 0.0
-        self.too_short = 0.0
-        self.is_new = True
+        self.observation_weight = 1.0
+        self.longer_drift = 0.0
+        self.shorter_drift = 0.0
+        self.needs_curve = True
 
     def add(self, b: int, *, ended: float, left: float = 1.0) -> None:
-        """Count a generation that left bucket ``b``."""
-        self.left[b] += self.n_seen * left
-        self.ended[b] += self.n_seen * ended
+        """Count a generation that left bucket ``b``, by ending or by growing."""
+        self.left[b] += self.observation_weight * left
+        self.ended[b] += self.observation_weight * ended
 
-    def age(self) -> None:
-        """Let what was counted before weigh a little less."""
-        self.n_new += 1
+    def decay(self) -> None:
+        """Count an ended generation, so that earlier observations weigh less."""
+        self.n_ended_since_curve += 1
         self.n_ended += 1
-        self.n_seen *= self._growth
-        if self.n_seen > 1024.0:
-            self.scale(1.0 / self.n_seen)
-            self.n_seen = 1.0
+        self.observation_weight *= self._weight_growth
+        if self.observation_weight > 1024.0:
+            self.scale(1.0 / self.observation_weight)
+            self.observation_weight = 1.0
 
     @property
     def is_stale(self) -> bool:
-        """Whether its curve is to be worked out anew."""
-        if self.is_new:
+        """Whether the curve made from this table must be recomputed."""
+        if self.needs_curve:
             return True
-        n_known = min(self.n_ended, ORGANISATION_HALF_LIFE)
-        return self.n_new >= max(CURVE_LIFE, CURVE_LIFE_SHARE * n_known)
+        n_known = min(self.n_ended, ORGANISATION_HALF_LIFE_ENDINGS)
+        return self.n_ended_since_curve >= max(
+            CURVE_LIFE_ENDINGS, CURVE_LIFE_SHARE * n_known
+        )
 
-    def settle(self) -> None:
-        """Note that its curve was worked out."""
-        self.is_new = False
-        self.n_new = 0
+    def mark_curve_current(self) -> None:
+        """Record that the curve was recomputed."""
+        self.needs_curve = False
+        self.n_ended_since_curve = 0
 
     def scale(self, factor: float) -> None:
         """Multiply all counts by ``factor``."""
@@ -192,8 +204,8 @@
             self.ended[b] *= factor
 
     def hazards(self, prior: list[float], weight: float) -> list[float]:
-        """Return each bucket's hazard, drawn to ``prior`` where little is known."""
-        scale = 1.0 / self.n_seen
+        """Return each bucket's hazard, shrunk towards ``prior`` by ``weight``."""
+        scale = 1.0 / self.observation_weight
         return [
             (self.ended[b] * scale + weight * prior[b])
             / (self.left[b] * scale + weight)
@@ -202,55 +214,55 @@
 
 
 class LengthModel(abc.ABC):
-    """Forecasts how many tokens generations still produce."""
+    """Learns the lengths of generations and forecasts their further tokens."""
 
     @abc.abstractmethod
     def curve(self, model: str, organisation: str) -> Curve:
-        """Return the curve to forecast by."""
+        """Return the survival curve for an organisation's generations."""
 
     @abc.abstractmethod
     def advance(
         self, model: str, organisation: str, n_before: int, n_after: int
     ) -> None:
-        """Learn that a generation went on from ``n_before`` to ``n_after`` tokens."""
+        """Learn that a generation grew from ``n_before`` to ``n_after`` tokens."""
 
     @abc.abstractmethod
     def end(
         self, model: str, organisation: str, n_tokens: int, *, censored: bool
     ) -> None:
-        """Learn that a generation is over.
+        """Learn that a generation has ended.
 
         Parameters
         ----------
         model, organisation : str
-            What ran and for whom.
+            The model that ran, or its prompt class, and whose generation it was.
         n_tokens : int
-            Tokens it had produced.
+            Tokens that it produced.
         censored : bool
-            Whether it was cut (cancelled, lost, at its limit), so that its own length
-            stays unknown.
+            Whether it was cut off (cancelled, lost, at its limit), so that its natural
+            length is unknown.
         """
 
     def expected_residual(self, model: str, organisation: str, n_so_far: int) -> float:
-        """Return the expected number of tokens still to come."""
+        """Return the expected number of further tokens."""
         return self.curve(model, organisation).expected_residual(n_so_far)
 
     def quantile_residual(
         self, model: str, organisation: str, n_so_far: int, probability: float
     ) -> float:
-        """Return the tokens to come that are not exceeded with ``probability``."""
+        """Return the number of further tokens not exceeded with ``probability``."""
         curve = self.curve(model, organisation)
         return curve.quantile_residual(n_so_far, probability)
 
 
 class LearnedLengths(LengthModel):
-    """A life table per model, and one per model and organisation drawn towards it.
+    """Keeps a life table per model, and per organisation one shrunk towards it.
 
     Parameters
     ----------
     n_tables : int
-        The most tables of organisations kept; the least recently used goes first and
-        falls back to its model's. This bounds the memory.
+        The most tables of organisations kept, which bounds the memory. The least
+        recently used is dropped first; its organisation falls back to the model's.
     """
 
     def __init__(self, *, n_tables: int = 4096) -> None:
@@ -263,18 +275,19 @@
         return len(self._tables)
 
     def curve(self, model: str, organisation: str) -> Curve:
-        """Return the organisation's curve, or its model's where it has none."""
+        """Return the organisation's curve, or the model's if it has no table."""
         key = (model, organisation)
         table = self._tables.get(key)
         if table is None:
-            key, table = (model, ""), self._model(model)
+            key, table = (model, ""), self._model_table(model)
         curve = self._curves.get(key)
         if curve is None or table.is_stale:
             curve = self._curves[key] = Curve(hazards=self._hazards(key, table))
-            table.settle()
-            # Curves with their rows are larger than tables and quickly made again;
-            # kept for each of thousands of organisations they would fill the node.
-            if len(self._curves) > N_CURVES:
+            table.mark_curve_current()
+            # Curves with their cached rows are larger than tables and cheap to
+            # recompute. Kept for thousands of organisations they would fill the
+            # node's memory.
+            if len(self._curves) > MAX_CURVES:
                 self._curves.popitem(last=False)
         return curve
 
@@ -282,77 +295,79 @@
         self, model: str, organisation: str, n_before: int, n_after: int
     ) -> None:
         """Learn that a generation left the buckets between the two lengths."""
-        first, last = bucket(n_before), bucket(n_after)
+        first, last = bucket_of(n_before), bucket_of(n_after)
         if first == last:
             return
-        for table in self._both(model, organisation):
+        for table in self._tables_for(model, organisation):
             for b in range(first, last):
                 table.add(b, ended=0.0)
 
     def end(
         self, model: str, organisation: str, n_tokens: int, *, censored: bool
     ) -> None:
-        """Learn that a generation is over; see `LengthModel.end`."""
-        b = bucket(n_tokens)
+        """Learn that a generation has ended; see `LengthModel.end`."""
+        b = bucket_of(n_tokens)
         if censored:
-            # It saw half of its last bucket on average: the actuary's convention.
-            for table in self._both(model, organisation):
+            # It was at risk for half of its last bucket on average, by the actuarial
+            # convention for censored observations.
+            for table in self._tables_for(model, organisation):
                 table.add(b, ended=0.0, left=0.5)
             return
         rank = 1.0 - math.exp(self.curve(model, organisation).log_survival(n_tokens))
-        for table in self._both(model, organisation):
+        for table in self._tables_for(model, organisation):
             table.add(b, ended=1.0)
-            table.age()
-            self._watch_drift(table, rank)
-
-    def _watch_drift(self, table: LifeTable, rank: float) -> None:
-        # Ranks are uniform while the forecast is right. A change of prompts or of a
-        # model's version shifts them all one way; with the old counts in full weight
-        # an engine would be overfilled, or left half empty, for thousands of
-        # generations. A sum that keeps its sign tells the shift from chance.
+            table.decay()
+            self._detect_drift(table, rank)
+
+    def _detect_drift(self, table: LifeTable, rank: float) -> None:
+        # Ranks are uniform while the forecast is right. A change of the prompts or of
+        # the model's version shifts them all in one direction; with the old counts at
+        # full weight, an engine would be overfilled or left half empty for thousands
+        # of generations. A one-sided cumulative sum separates a shift from chance.
         step = 4.0 * (rank - 0.5)
-        table.too_long = max(0.0, table.too_long + step - DRIFT_SLACK)
-        table.too_short = max(0.0, table.too_short - step - DRIFT_SLACK)
-        if max(table.too_long, table.too_short) > DRIFT_THRESHOLD:
-            table.scale(DRIFT_KEEP)
-            table.too_long = table.too_short = 0.0
-            table.is_new = True
-
-    def _both(self, model: str, organisation: str) -> tuple[LifeTable, LifeTable]:
+        table.longer_drift = max(0.0, table.longer_drift + step - DRIFT_ALLOWANCE)
+        table.shorter_drift = max(0.0, table.shorter_drift - step - DRIFT_ALLOWANCE)
+        if max(table.longer_drift, table.shorter_drift) > DRIFT_THRESHOLD:
+            table.scale(DRIFT_KEPT_SHARE)
+            table.longer_drift = table.shorter_drift = 0.0
+            table.needs_curve = True
+
+    def _tables_for(self, model: str, organisation: str) -> tuple[LifeTable, LifeTable]:
         key = (model, organisation)
         table = self._tables.get(key)
         if table is None:
-            table = LifeTable(half_life=ORGANISATION_HALF_LIFE)
+            table = LifeTable(half_life=ORGANISATION_HALF_LIFE_ENDINGS)
             self._tables[key] = table
             if len(self._tables) > self._n_tables:
                 self._tables.popitem(last=False)
         else:
             self._tables.move_to_end(key)
-        return table, self._model(model)
+        return table, self._model_table(model)
 
-    def _model(self, model: str) -> LifeTable:
+    def _model_table(self, model: str) -> LifeTable:
         table = self._models.get(model)
         if table is None:
-            table = self._models[model] = LifeTable(half_life=MODEL_HALF_LIFE)
+            table = self._models[model] = LifeTable(half_life=MODEL_HALF_LIFE_ENDINGS)
         return table
 
     def _hazards(self, key: tuple[str, str], table: LifeTable) -> list[float]:
         if not key[1]:
             return table.hazards(COLD_HAZARDS, COLD_WEIGHT)
-        prior = self._model(key[0]).hazards(COLD_HAZARDS, COLD_WEIGHT)
+        prior = self._model_table(key[0]).hazards(COLD_HAZARDS, COLD_WEIGHT)
         return table.hazards(prior, MODEL_WEIGHT)
 
 
 def prompt_class(model: str, n_prompt_tokens: int) -> str:
-    """Return the name under which lengths for prompts of about this size are learned.
+    """Return the key under which lengths for prompts of about this size are learned.
 
-    A short question and a long brief for a draft tell much about the answer's length;
-    a power of two is fine enough, and few classes keep the tables small.
+    The prompt's size says much about the answer's length: compare a short question
+    with a long brief for a draft. Powers of two are fine enough, and few classes keep
+    the number of tables small.
     """
     n_bits = n_prompt_tokens.bit_length()
     return f"{model}/{min(max(n_bits, CLASS_BITS_MIN), CLASS_BITS_MAX)}"
 
 
-def bucket(n_tokens: int) -> int:
-    """Return the number of the bucket that a length falls into."""
+def bucket_of(n_tokens: int) -> int:
+    """Return the index of the bucket that contains a length."""
     return min(int(BUCKETS_PER_DOUBLING * math.log2(n_tokens + 1.0)), N_BUCKETS - 1)
--- a/celerytrail/policies/limits.py
+++ b/celerytrail/policies/limits.py
@@ -1,9 +1,10 @@
-"""Limits per organisation, held over many nodes without a counter in the table.
+"""Limits per organisation, enforced over many nodes without a counter in the store.
 
-Each organisation has a limit home, which lends out its tokens and its places to entry
-nodes in portions. An entry node decides by what it has borrowed, with no message for a
-request. When the home can't be reached, it goes by its even share. Both sides are
-pure; whoever wires them sends `LoanRequest` and `Loan` between nodes.
+Each organisation has a limit home: the node that lends the organisation's tokens and
+places (concurrent generations) to entry nodes in portions. An entry node decides by
+what it has borrowed, without a message per request. While it can't reach the limit
+home, it uses an even share of the limit. Both sides do no I/O; their owners exchange
+`LoanRequest` and `Loan` between nodes.
 """
 
 from __future__ import annotations
@@ -12,25 +13,25 @@
 
 from ..types import NotRun
 
-# A bucket holds so many seconds' worth of tokens: the burst that is allowed.
+# The allowed burst: a bucket holds the tokens of this many seconds.
 BURST_SECONDS = 5.0
-# Borrowers ask for about so many seconds' worth at a time.
+# A loan covers about this many seconds of an organisation's use.
 PORTION_SECONDS = 1.0
-# Places that are borrowed and not renewed fall back to the lender after this.
+# Borrowed places that aren't renewed return to the lender after this.
 LEASE_SECONDS = 10.0
 RENEW_SECONDS = 3.0
-# Whoever found no place comes back after this: places are borrowed for the refused at
-# once, and kept for them for RENEW_SECONDS.
+# Callers refused because no place was free retry after this. Places are borrowed for
+# them at once and kept for RENEW_SECONDS.
 PLACE_RETRY_SECONDS = RENEW_SECONDS / 2
-# Without an answer from the lender for so long, the even share is taken.
-LENDER_LOST_SECONDS = 3.0
+# After this long without an answer from the lender, the even share is used.
+LENDER_TIMEOUT_SECONDS = 3.0
 RETRY_AFTER_MIN = 0.2
 RETRY_AFTER_MAX = 60.0
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Limit:
-    """An organisation's limits, from the document; None for no limit."""
+    """An organisation's limits, from the document; None means no limit."""
 
     n_tokens_per_second: int | None = None
     n_concurrent: int | None = None
@@ -38,16 +39,16 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class LoanRequest:
-    """What an entry node asks of a limit home.
+    """An entry node's request to a limit home.
 
     Parameters
     ----------
     organisation, borrower : str
-        Whose limit, and which node asks.
+        The organisation, and the entry node's name.
     n_tokens : int
-        Tokens wanted.
+        Tokens requested.
     n_places, n_places_used : int
-        Places wanted in all, and those in use, which must not be taken away.
+        Places requested in total, and those in use, which are never withdrawn.
     """
 
     organisation: str
@@ -59,16 +60,16 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Loan:
-    """What a limit home lends.
+    """A limit home's answer to a `LoanRequest`.
 
     Parameters
     ----------
     organisation : str
-        Whose limit.
+        The organisation.
     n_tokens : int
-        Tokens, on top of what was lent before.
+        Tokens lent in addition to earlier loans.
     n_places : int
-        Places held from now on, in all.
+        Places lent in total; replaces the earlier number.
     """
 
     organisation: str
@@ -78,12 +79,16 @@
 
 @dataclass(kw_only=True, slots=True)
 class _Lease:
+    """The places lent to one borrower, and when they return to the lender."""
+
     n_places: int
     expires_at: float
 
 
 @dataclass(kw_only=True, slots=True)
 class _Bucket:
+    """A limit home's state of one organisation: its token bucket and leases."""
+
     n_tokens: float
     filled_at: float
     started_at: float
@@ -91,11 +96,12 @@
 
 
 class LimitLender:
-    """A limit home's side: lends organisations' tokens and places.
+    """The limit home's side: lends the tokens and places of organisations.
 
-    A home that takes over knows nothing. It starts with an empty bucket, and for the
-    length of a lease it lends no place beyond a borrower's even share but those the
-    borrower says are in use; so a change of home gives no second burst.
+    A home that takes over doesn't know the earlier loans. It starts with an empty
+    bucket, and for the duration of a lease it lends a borrower at most the even share
+    of places, or the number that the borrower reports in use if that is more. So a
+    change of home permits no second burst.
     """
 
     def __init__(self) -> None:
@@ -110,21 +116,22 @@
         now: float,
         home_since: float | None = None,
     ) -> Loan:
-        """Answer an entry node.
+        """Grant a loan to an entry node.
 
         Parameters
         ----------
         req : LoanRequest
-            What it asks.
+            The entry node's request.
         limit : Limit
             The organisation's limit.
         n_nodes : int
-            The number of entry nodes alive.
+            Number of live entry nodes.
         now : float
             Monotonic time.
         home_since : float or None
-            Since when this is the organisation's home. A home of long standing knows
-            that an organisation it holds no books on has borrowed nothing anywhere.
+            Monotonic time since when this node is the organisation's limit home; None
+            for now. If a long-standing home has no bucket for an organisation, nothing
+            is lent to any node.
         """
         bucket = self._bucket(req.organisation, limit, now, home_since)
         n_tokens = self._lend_tokens(bucket, req, limit)
@@ -132,9 +139,9 @@
         return Loan(organisation=req.organisation, n_tokens=n_tokens, n_places=n_places)
 
     def forget_idle(self, now: float) -> None:
-        """Drop buckets that are full again and have no lease."""
+        """Drop buckets that have refilled and have no lease."""
         for name, bucket in list(self._buckets.items()):
-            bucket.leases = _current(bucket.leases, now)
+            bucket.leases = _unexpired(bucket.leases, now)
             if not bucket.leases and now - bucket.filled_at > 2 * LEASE_SECONDS:
                 del self._buckets[name]
 
@@ -155,7 +162,8 @@
     def _lend_tokens(self, bucket: _Bucket, req: LoanRequest, limit: Limit) -> int:
         if limit.n_tokens_per_second is None:
             return 0
-        # Half at most: who asks first doesn't leave the others with nothing.
+        # A loan is at most half of the bucket, so that the first borrower leaves tokens
+        # for the others.
         n_tokens = int(min(req.n_tokens, max(0.0, bucket.n_tokens / 2)))
         bucket.n_tokens -= n_tokens
         return n_tokens
@@ -170,13 +178,13 @@
     ) -> int:
         if limit.n_concurrent is None:
             return 0
-        bucket.leases = _current(bucket.leases, now)
-        n_others = sum(
+        bucket.leases = _unexpired(bucket.leases, now)
+        n_lent_to_others = sum(
             lease.n_places
             for borrower, lease in bucket.leases.items()
             if borrower != req.borrower
         )
-        n_free = max(0, limit.n_concurrent - n_others)
+        n_free = max(0, limit.n_concurrent - n_lent_to_others)
         if now - bucket.started_at < LEASE_SECONDS:
             n_free = min(n_free, limit.n_concurrent // max(1, n_nodes))
         n_places = max(req.n_places_used, min(req.n_places, n_free))
@@ -187,8 +195,8 @@
 
 
 @dataclass(kw_only=True, slots=True)
-class _Purse:
-    """What an entry node holds of one organisation's limit."""
+class _Allowance:
+    """An entry node's borrowed part of an organisation's limit, and its recent use."""
 
     limit: Limit
     n_tokens: float = 0.0
@@ -199,13 +207,13 @@
     spare_until: float = float("-inf")
     rate: float = 0.0
     updated_at: float = 0.0
-    asked_at: float = float("-inf")
+    requested_at: float = float("-inf")
     answered_at: float = float("-inf")
-    waits_since: float | None = None
+    unanswered_since: float | None = None
 
 
 class LimitBorrower:
-    """An entry node's side: decides by what it has borrowed.
+    """The entry node's side: admits requests by what it has borrowed.
 
     Parameters
     ----------
@@ -215,7 +223,7 @@
 
     def __init__(self, *, name: str) -> None:
         self._name = name
-        self._purses: dict[str, _Purse] = {}
+        self._allowances: dict[str, _Allowance] = {}
 
     def admit(
         self,
@@ -226,125 +234,139 @@
         n_nodes: int,
         now: float,
     ) -> NotRun | None:
-        """Take a place and ``n_tokens``, or return the refusal.
+        """Take a place and ``n_tokens``, or return a refusal.
 
-        What the generation really produces is settled by `settle`.
+        `settle` corrects the charge by what the generation produced.
         """
         if limit.n_tokens_per_second is None and limit.n_concurrent is None:
             return None
-        purse = self._purse(organisation, limit, n_nodes, now)
-        if limit.n_concurrent is not None and purse.n_places_used >= purse.n_places:
-            purse.n_refused += 1
+        allowance = self._allowance(organisation, limit, n_nodes, now)
+        if (
+            limit.n_concurrent is not None
+            and allowance.n_places_used >= allowance.n_places
+        ):
+            allowance.n_refused += 1
             return _refusal("concurrency_limit", PLACE_RETRY_SECONDS)
         if limit.n_tokens_per_second is not None:
-            if purse.n_tokens <= 0:
-                purse.n_refused += 1
-                seconds = (n_tokens - purse.n_tokens) / limit.n_tokens_per_second
+            if allowance.n_tokens <= 0:
+                allowance.n_refused += 1
+                seconds = (n_tokens - allowance.n_tokens) / limit.n_tokens_per_second
                 return _refusal("token_limit", seconds)
-            purse.n_tokens -= n_tokens
-        purse.n_places_used += 1
-        purse.rate += n_tokens / PORTION_SECONDS
+            allowance.n_tokens -= n_tokens
+        allowance.n_places_used += 1
+        allowance.rate += n_tokens / PORTION_SECONDS
         return None
 
     def settle(self, organisation: str, n_tokens: float) -> None:
-        """Charge tokens beyond those taken, or give some back when negative."""
-        purse = self._purses.get(organisation)
-        if purse is not None:
-            purse.n_tokens -= n_tokens
+        """Charge tokens beyond those taken; a negative number returns some."""
+        allowance = self._allowances.get(organisation)
+        if allowance is not None:
+            allowance.n_tokens -= n_tokens
 
     def release(self, organisation: str) -> None:
-        """Give back the place of a generation that has ended."""
-        purse = self._purses.get(organisation)
-        if purse is not None:
-            purse.n_places_used = max(0, purse.n_places_used - 1)
+        """Return the place of a generation that has ended."""
+        allowance = self._allowances.get(organisation)
+        if allowance is not None:
+            allowance.n_places_used = max(0, allowance.n_places_used - 1)
 
     def requests(self, now: float) -> list[LoanRequest]:
-        """Return what is to be asked of the limit homes now."""
+        """Return the loan requests that are due, to be sent to the limit homes."""
         due = []
-        for organisation, purse in list(self._purses.items()):
-            if self._is_due(purse, now):
-                purse.asked_at = now
-                if purse.waits_since is None:
-                    purse.waits_since = now
-                _plan_spare(purse, now)
-                due.append(self._request(organisation, purse))
-                purse.n_refused = 0
-            elif purse.n_places_used == 0 and now - purse.updated_at > LEASE_SECONDS:
-                del self._purses[organisation]
+        for organisation, allowance in list(self._allowances.items()):
+            if self._is_due(allowance, now):
+                allowance.requested_at = now
+                if allowance.unanswered_since is None:
+                    allowance.unanswered_since = now
+                _update_spare(allowance, now)
+                due.append(self._loan_request(organisation, allowance))
+                allowance.n_refused = 0
+            elif (
+                allowance.n_places_used == 0
+                and now - allowance.updated_at > LEASE_SECONDS
+            ):
+                del self._allowances[organisation]
         return due
 
     def receive(self, loan: Loan, now: float) -> None:
-        """Take in a limit home's answer."""
-        purse = self._purses.get(loan.organisation)
-        if purse is None:
+        """Apply a limit home's answer."""
+        allowance = self._allowances.get(loan.organisation)
+        if allowance is None:
             return
-        purse.n_tokens += loan.n_tokens
-        purse.n_places = loan.n_places
-        purse.answered_at = now
-        purse.waits_since = None
+        allowance.n_tokens += loan.n_tokens
+        allowance.n_places = loan.n_places
+        allowance.answered_at = now
+        allowance.unanswered_since = None
 
-    def _purse(
+    def _allowance(
         self, organisation: str, limit: Limit, n_nodes: int, now: float
-    ) -> _Purse:
-        purse = self._purses.get(organisation)
-        if purse is None:
-            purse = self._purses[organisation] = _Purse(limit=limit, updated_at=now)
-            # The first request mustn't wait for a message: it gets the even share.
-            purse.n_places = max(1, (limit.n_concurrent or 0) // max(1, n_nodes))
-            purse.n_tokens = (limit.n_tokens_per_second or 0) / max(1, n_nodes)
-        purse.limit = limit
-        seconds = now - purse.updated_at
-        purse.updated_at = now
-        purse.rate *= 0.5 ** (seconds / PORTION_SECONDS)
-        if _lender_is_lost(purse, now):
-            # With no lender each node goes by its even share. All together they keep
-            # to the limit; a busy node gets less than it could. Waiting for the
-            # lender would refuse everybody, trusting blindly would refuse nobody.
+    ) -> _Allowance:
+        allowance = self._allowances.get(organisation)
+        if allowance is None:
+            allowance = self._allowances[organisation] = _Allowance(
+                limit=limit, updated_at=now
+            )
+            # The first request isn't delayed by an exchange: it uses the even share.
+            allowance.n_places = max(1, (limit.n_concurrent or 0) // max(1, n_nodes))
+            allowance.n_tokens = (limit.n_tokens_per_second or 0) / max(1, n_nodes)
+        allowance.limit = limit
+        seconds = now - allowance.updated_at
+        allowance.updated_at = now
+        allowance.rate *= 0.5 ** (seconds / PORTION_SECONDS)
+        if _is_lender_lost(allowance, now):
+            # Without a lender each node uses its even share. Together the nodes keep
+            # to the limit, though a busy node gets less than it could. Waiting for
+            # the lender would refuse every request; admitting without it would
+            # refuse none.
             rate = (limit.n_tokens_per_second or 0) / max(1, n_nodes)
             burst = rate * BURST_SECONDS
-            if purse.n_tokens < burst:
-                purse.n_tokens = min(burst, purse.n_tokens + rate * seconds)
-            purse.n_places = max(1, (limit.n_concurrent or 0) // max(1, n_nodes))
-        return purse
+            if allowance.n_tokens < burst:
+                allowance.n_tokens = min(burst, allowance.n_tokens + rate * seconds)
+            allowance.n_places = max(1, (limit.n_concurrent or 0) // max(1, n_nodes))
+        return allowance
 
-    def _is_due(self, purse: _Purse, now: float) -> bool:
-        if now - purse.asked_at >= RENEW_SECONDS:
+    def _is_due(self, allowance: _Allowance, now: float) -> bool:
+        if now - allowance.requested_at >= RENEW_SECONDS:
             return True
-        if now - purse.asked_at < PORTION_SECONDS / 4:
+        if now - allowance.requested_at < PORTION_SECONDS / 4:
             return False
-        return purse.n_refused > 0 or purse.n_tokens < purse.rate * PORTION_SECONDS / 2
+        return (
+            allowance.n_refused > 0
+            or allowance.n_tokens < allowance.rate * PORTION_SECONDS / 2
+        )
 
-    def _request(self, organisation: str, purse: _Purse) -> LoanRequest:
-        rate = purse.limit.n_tokens_per_second or 0
-        wanted = max(purse.rate * 2 * PORTION_SECONDS, rate * PORTION_SECONDS / 16)
-        n_places = purse.n_places_used + purse.n_spare
+    def _loan_request(self, organisation: str, allowance: _Allowance) -> LoanRequest:
+        rate = allowance.limit.n_tokens_per_second or 0
+        n_tokens_target = max(
+            allowance.rate * 2 * PORTION_SECONDS, rate * PORTION_SECONDS / 16
+        )
+        n_places = allowance.n_places_used + allowance.n_spare
         return LoanRequest(
             organisation=organisation,
             borrower=self._name,
-            n_tokens=max(0, int(wanted - purse.n_tokens)),
+            n_tokens=max(0, int(n_tokens_target - allowance.n_tokens)),
             n_places=n_places,
-            n_places_used=purse.n_places_used,
+            n_places_used=allowance.n_places_used,
         )
 
 
-def _plan_spare(purse: _Purse, now: float) -> None:
-    # One spare place, and one for each that was refused. These are kept until the
-    # refused had the time to come back; were they given back with the next message,
-    # a burst would be let in one by one.
-    if purse.n_refused:
-        purse.n_spare = 1 + purse.n_refused
-        purse.spare_until = now + RENEW_SECONDS
-    elif now >= purse.spare_until:
-        purse.n_spare = 1
+def _update_spare(allowance: _Allowance, now: float) -> None:
+    # One spare place, and one for each refused request. These are kept until the
+    # refused callers had time to retry. If they were returned with the next exchange,
+    # a burst would be admitted one request at a time.
+    if allowance.n_refused:
+        allowance.n_spare = 1 + allowance.n_refused
+        allowance.spare_until = now + RENEW_SECONDS
+    elif now >= allowance.spare_until:
+        allowance.n_spare = 1
 
 
-def _lender_is_lost(purse: _Purse, now: float) -> bool:
-    if purse.waits_since is None:
+def _is_lender_lost(allowance: _Allowance, now: float) -> bool:
+    if allowance.unanswered_since is None:
         return False
-    return now - purse.waits_since > LENDER_LOST_SECONDS
+    return now - allowance.unanswered_since > LENDER_TIMEOUT_SECONDS
 
 
-def _current(leases: dict[str, _Lease], now: float) -> dict[str, _Lease]:
+def _unexpired(leases: dict[str, _Lease], now: float) -> dict[str, _Lease]:
     return {name: lease for name, lease in leases.items() if lease.expires_at > now}
 
 
--- a/celerytrail/policies/shedding.py
+++ b/celerytrail/policies/shedding.py
@@ -1,8 +1,9 @@
-"""Shedding: who is refused, at once, and when to come back.
+"""Load shedding: which requests to refuse on arrival, and when to retry.
 
-A request whose turn won't come before its queue deadline is refused as it arrives,
-not held until then. Each organisation is judged by its own line and its own share, so
-whoever asks for more than its share is shed first and the others don't notice.
+A request that won't be served before its queue deadline is refused as it arrives
+instead of being held until then. The wait is estimated from the organisation's own
+backlog and share, so an organisation that exceeds its share is shed first, without
+effect on the others.
 """
 
 from __future__ import annotations
@@ -13,34 +14,35 @@
 
 from ..types import NotRun
 
-# The drain rate is an average over about so many seconds.
-DRAIN_SECONDS = 30.0
-# A forecast of the wait is wrong by about this factor either way; only a request that
-# would be too late by more than that is refused on arrival.
-DOUBT = 3.0
-# Until so many tokens have been granted, nothing is known about the drain.
+# Time constant of the moving average of the drain rate.
+DRAIN_WINDOW_SECONDS = 30.0
+# A forecast of the wait is wrong by up to about this factor in both directions, so a
+# request is refused on arrival only if the forecast exceeds its patience by more.
+WAIT_ERROR_FACTOR = 3.0
+# The drain rate is unknown until this many requests have been granted.
 N_COLD_GRANTS = 20
 RETRY_AFTER_MIN = 0.5
 RETRY_AFTER_MAX = 120.0
-# Spreads those that were refused together, so that they don't return together.
-JITTER = 0.3
+# Retry times are extended by up to this share, so that callers refused at the same
+# time don't retry at the same time.
+RETRY_JITTER = 0.3
 
 
 class SheddingPolicy(abc.ABC):
-    """Decides whether an arriving request is refused at once."""
+    """Decides which requests are refused, and when to retry them."""
 
     @abc.abstractmethod
     def judge(
         self, *, backlog: float, share: float, patience: float, now: float
     ) -> NotRun | None:
-        """Return a refusal, or None to let it wait.
+        """Return a refusal for an arriving request, or None to queue it.
 
         Parameters
         ----------
         backlog : float
-            Tokens that the organisation's own waiting requests will take.
+            Tokens that the organisation's waiting requests are expected to take.
         share : float
-            The organisation's share of the pool at present, 0 to 1.
+            The organisation's current share of the pool, 0 to 1.
         patience : float
             Seconds until the request's queue deadline.
         now : float
@@ -48,21 +50,23 @@
         """
 
     @abc.abstractmethod
-    def too_late(self, *, backlog: float, share: float, now: float) -> NotRun:
+    def deadline_refusal(self, *, backlog: float, share: float, now: float) -> NotRun:
         """Return the refusal for a request whose queue deadline has passed."""
 
     @abc.abstractmethod
     def granted(self, n_tokens: float, now: float) -> None:
-        """Note that a request of so many expected tokens was granted."""
+        """Record the grant of a request with this expected number of tokens."""
 
 
 class ShedByWait(SheddingPolicy):
-    """Refuses what would wait beyond its deadline, by the rate the queue drains at.
+    """Refuses requests whose expected wait exceeds their deadline.
+
+    The wait follows from the backlog and the rate at which the queue drains.
 
     Parameters
     ----------
     rng : random.Random
-        Spreads the times to come back.
+        Source of the jitter of retry times.
     """
 
     def __init__(self, *, rng: random.Random) -> None:
@@ -74,11 +78,11 @@
     def judge(
         self, *, backlog: float, share: float, patience: float, now: float
     ) -> NotRun | None:
-        """Refuse where the wait is longer than the patience, doubt allowed."""
+        """Refuse if the wait exceeds the patience by more than the forecast's error."""
         if self._n_granted < N_COLD_GRANTS:
             return None
-        wait = self._wait(backlog, share, now)
-        if wait <= patience * DOUBT:
+        wait = self._expected_wait(backlog, share, now)
+        if wait <= patience * WAIT_ERROR_FACTOR:
             return None
         return NotRun(
             reason="shed",
@@ -86,9 +90,9 @@
             retry_after=self._retry_after(wait - patience),
         )
 
-    def too_late(self, *, backlog: float, share: float, now: float) -> NotRun:
-        """Refuse with the time in which what waits before it should be through."""
-        wait = self._wait(backlog, share, now) if self._n_granted else 1.0
+    def deadline_refusal(self, *, backlog: float, share: float, now: float) -> NotRun:
+        """Refuse, to be retried once the organisation's backlog should be served."""
+        wait = self._expected_wait(backlog, share, now) if self._n_granted else 1.0
         return NotRun(
             reason="queue_deadline",
             detail="no engine had room before the request's queue deadline",
@@ -96,23 +100,23 @@
         )
 
     def granted(self, n_tokens: float, now: float) -> None:
-        """Take a grant into the average of the drain rate."""
+        """Add a grant to the average of the drain rate."""
         self._decay(now)
-        self._rate += n_tokens / DRAIN_SECONDS
+        self._rate += n_tokens / DRAIN_WINDOW_SECONDS
         self._n_granted += 1
 
     def drain_rate(self, now: float) -> float:
-        """Return the tokens a second at which grants are made."""
+        """Return the rate of grants, in expected tokens per second."""
         self._decay(now)
         return self._rate
 
-    def _wait(self, backlog: float, share: float, now: float) -> float:
+    def _expected_wait(self, backlog: float, share: float, now: float) -> float:
         return backlog / max(1e-3, share * self.drain_rate(now))
 
     def _decay(self, now: float) -> None:
-        self._rate *= math.exp(-(now - self._rate_at) / DRAIN_SECONDS)
+        self._rate *= math.exp(-(now - self._rate_at) / DRAIN_WINDOW_SECONDS)
         self._rate_at = now
 
     def _retry_after(self, seconds: float) -> float:
         bounded = min(max(seconds, RETRY_AFTER_MIN), RETRY_AFTER_MAX)
-        return bounded * (1.0 + JITTER * self._rng.random())
+        return bounded * (1.0 + RETRY_JITTER * self._rng.random())
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -93,7 +93,7 @@
         for grant_id in view.running:
             book.progress(grant_id, 500, 2.0)
         book.report(make_report(2, n_used_tokens=600), 3.0, age=0.5)
-        assert view.n_lies == 1
+        assert view.n_underreports == 1
         assert policy.room(view, make_request(999), 3.0) < 0
 
     def test_other_nodes_work_is_taken_from_the_report(self, book):
