--- a/celerytrail/policies/affinity.py
+++ b/celerytrail/policies/affinity.py
@@ -1,8 +1,8 @@
-"""Affinity: prefers an engine that holds a prompt's prefix, as far as load allows.
+"""Prefix cache affinity: prefers engines that hold a prompt's prefix, as load allows.
 
-A cached prefix saves the time to process it; following it blindly piles one
-organisation's work on one engine. So a warm cache counts as a bonus of bounded size
-when engines that have room are compared.
+A cached prefix saves its prefill, but always following the cache concentrates an
+organisation's work on one engine. So cached prefixes add a bounded bonus when engines
+that fit a request are compared.
 """
 
 from __future__ import annotations
@@ -11,13 +11,13 @@
 from collections import OrderedDict
 from collections.abc import Sequence
 
-# The most that a fully warm cache is worth, as a share of an engine's memory.
+# Bonus for a fully cached prompt, as a share of an engine's memory.
 BONUS_MAX = 0.1
 N_PREFIXES_KEPT = 4096
 
 
 class AffinityPolicy(abc.ABC):
-    """Says how much an engine's warm cache is worth to a request."""
+    """Rates the prefixes that engines hold for a request."""
 
     @abc.abstractmethod
     def bonus(self, engine: str, prefixes: Sequence[str]) -> float:
@@ -25,19 +25,19 @@
 
     @abc.abstractmethod
     def stored(self, engine: str, prefixes: Sequence[str]) -> None:
-        """Note that an engine holds these prefixes now, or soon."""
+        """Record that an engine holds these prefixes, or will soon."""
 
     @abc.abstractmethod
     def evicted(self, engine: str, prefix: str) -> None:
-        """Note that an engine no longer holds a prefix."""
+        """Record that an engine no longer holds a prefix."""
 
     @abc.abstractmethod
     def forget(self, engine: str) -> None:
-        """Note that an engine's cache is empty, as after a restart."""
+        """Drop an engine's prefixes, as after a restart."""
 
 
 class NoAffinity(AffinityPolicy):
-    """Ignores caches; a baseline."""
+    """Ignores prefix caches; a baseline."""
 
     def bonus(self, engine: str, prefixes: Sequence[str]) -> float:
         """Return 0."""
@@ -54,44 +54,44 @@
 
 
 class BoundedAffinity(AffinityPolicy):
-    """Worth a bonus in proportion to the share of the prompt's blocks that is warm.
+    """Gives a bonus in proportion to the share of the prompt's blocks that is cached.
 
     Parameters
     ----------
     n_prefixes : int
-        The most prefixes remembered per engine, least recently used dropped first;
-        events come with gaps, so evictions can be missed for good.
+        The most prefixes kept per engine; the least recently used are dropped first.
+        This bound is needed because cache events can be missed, evictions included.
     """
 
     def __init__(self, *, n_prefixes: int = N_PREFIXES_KEPT) -> None:
         self._n_prefixes = n_prefixes
-        self._warm: dict[str, OrderedDict[str, None]] = {}
+        self._cached: dict[str, OrderedDict[str, None]] = {}
 
     def bonus(self, engine: str, prefixes: Sequence[str]) -> float:
         """Return the bonus, as a share of the engine's memory."""
-        warm = self._warm.get(engine)
-        if not prefixes or not warm:
+        cached = self._cached.get(engine)
+        if not prefixes or not cached:
             return 0.0
-        n_warm = 0
+        n_cached = 0
         for prefix in prefixes:
-            if prefix not in warm:
+            if prefix not in cached:
                 break
-            n_warm += 1
-        return BONUS_MAX * n_warm / len(prefixes)
+            n_cached += 1
+        return BONUS_MAX * n_cached / len(prefixes)
 
     def stored(self, engine: str, prefixes: Sequence[str]) -> None:
-        """Note that an engine holds these prefixes now, or soon."""
-        warm = self._warm.setdefault(engine, OrderedDict())
+        """Record that an engine holds these prefixes, or will soon."""
+        cached = self._cached.setdefault(engine, OrderedDict())
         for prefix in prefixes:
-            warm[prefix] = None
-            warm.move_to_end(prefix)
-        while len(warm) > self._n_prefixes:
-            warm.popitem(last=False)
+            cached[prefix] = None
+            cached.move_to_end(prefix)
+        while len(cached) > self._n_prefixes:
+            cached.popitem(last=False)
 
     def evicted(self, engine: str, prefix: str) -> None:
-        """Note that an engine no longer holds a prefix."""
-        self._warm.get(engine, OrderedDict()).pop(prefix, None)
+        """Record that an engine no longer holds a prefix."""
+        self._cached.get(engine, OrderedDict()).pop(prefix, None)
 
     def forget(self, engine: str) -> None:
-        """Drop all that is known of an engine's cache."""
-        self._warm.pop(engine, None)
+        """Drop an engine's prefixes, as after a restart."""
+        self._cached.pop(engine, None)
--- a/celerytrail/policies/grants.py
+++ b/celerytrail/policies/grants.py
@@ -1,4 +1,4 @@
-"""Grants: the leave to start one generation on one engine, and who gives it."""
+"""Grants, each of which permits one generation on one engine, and who issues them."""
 
 from __future__ import annotations
 
@@ -15,28 +15,30 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class AdmitRequest:
-    """A generation that asks to be let in.
+    """A request to admit one generation.
 
     Parameters
     ----------
     request_id : str
-        Unique for each asking; asking again with the same id replaces the former.
+        Unique per request; a request with the same id replaces the earlier one.
     organisation, model, adapter : str
-        Whose it is and what it wants; ``adapter`` is empty for none.
+        The organisation it runs for, and the model and adapter it needs; ``adapter``
+        is empty for none.
     n_prompt_tokens : int
-        Tokens in the prompt, estimated where the engine alone can count them.
+        Tokens in the prompt, estimated where only the engine can count them.
     n_max_tokens : int
-        The most tokens the caller allows; the real number is unknown.
+        The most tokens the caller allows; the actual number is unknown.
     priority : int
         0 to 9, from the document.
     weight : float
-        The organisation's share, from the document.
+        The organisation's weight, from the document.
     prefixes : tuple of str
-        Hashes of the prompt's leading blocks, shortest first, to find a warm cache.
+        Hashes of the prompt's leading blocks, shortest first, to find a cached
+        prefix.
     queue_deadline : float
-        Monotonic time until which it may wait; then it is refused.
+        Monotonic time at which it is refused if it still waits.
     excluded : tuple of str
-        Engines already tried in vain.
+        Engines that already failed to run it.
     """
 
     request_id: str
@@ -54,16 +56,16 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Grant:
-    """Leave to start a generation on an engine.
+    """Permission to start a generation on an engine.
 
     Parameters
     ----------
     grant_id : str
-        Names the grant towards whoever gave it; also the generation's id.
+        Identifies the grant to the node that issued it; also the generation's id.
     engine : str
         The engine's name in the document.
     home : str
-        The node that gave it; empty where the entry node chose by itself.
+        The node that issued it; empty if the entry node chose the engine itself.
     """
 
     grant_id: str
@@ -76,12 +78,15 @@
 
     @abc.abstractmethod
     async def admit(self, req: AdmitRequest) -> Result[Grant, NotRun]:
-        """Wait for a grant, until the request's queue deadline at the latest."""
+        """Wait for a grant until the request's queue deadline, or return a refusal."""
 
     @abc.abstractmethod
     def progress(self, grant: Grant, n_tokens: int) -> None:
-        """Note how many tokens a granted generation has produced; cheap."""
+        """Record how many tokens a granted generation has produced.
+
+        This is called often and must be cheap.
+        """
 
     @abc.abstractmethod
     def finish(self, grant: Grant, n_tokens: int, end: GenerationEnd) -> None:
-        """Note that a granted generation has ended, which frees its place."""
+        """Record that a granted generation has ended, which frees its place."""
--- a/celerytrail/policies/reports.py
+++ b/celerytrail/policies/reports.py
@@ -1,4 +1,4 @@
-"""What engines and service endpoints report of themselves, as decoded from JSON."""
+"""Load reports of engines and service endpoints, as decoded from JSON."""
 
 from __future__ import annotations
 
@@ -8,28 +8,28 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class EngineReport:
-    """A model engine's load report; always some time old.
+    """A model engine's load report, which describes a moment in the past.
 
     Parameters
     ----------
     engine, incarnation : str
-        The engine's name, and an id that is new at each start of its process.
+        The engine's name, and an id that changes at each start of its process.
     sequence : int
         Rises with each report of one incarnation.
     at : float
-        Wall time at which it was true, in seconds since the epoch.
+        Wall time that it describes, in seconds since the epoch.
     n_memory_tokens, n_used_tokens : int
-        Tokens the memory holds in all and now.
+        The memory's capacity and its current use, in tokens.
     n_running, n_waiting : int
         Generations in the batch and in the engine's own queue.
     n_preemptions : int
-        Generations thrown out of memory so far, in this incarnation.
+        Number of preempted generations so far, in this incarnation.
     stall_seconds : float
-        Time generations have stood still so far, in this incarnation.
+        Total time for which generations stalled so far, in this incarnation.
     tokens_per_second : float
-        Tokens generated a second lately, over the whole batch.
+        Recent rate of generated tokens, over the whole batch.
     leaving_at : float or None
-        Wall time at which the engine will be gone, where it knows.
+        Wall time at which the engine will stop; None if it knows of no stop.
     running : tuple of (str, int)
         Generation ids and the tokens each has produced so far.
     """
@@ -68,7 +68,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class SeenReport:
-    """An engine's report and the monotonic time at which it was true, in seconds."""
+    """An engine's report and the monotonic time that it describes, in seconds."""
 
     report: EngineReport
     at: float
