--- a/celerytrail/policies/admission.py
+++ b/celerytrail/policies/admission.py
@@ -13,7 +13,7 @@
 import math
 from dataclasses import dataclass
 
-from .engineview import EngineView, Running
+from .engineview import EngineView, RunningGeneration
 from .grants import AdmitRequest
 from .lengths import LengthModel, prompt_class
 
@@ -148,7 +148,9 @@
         self._forecasts[view.name] = forecast
         return forecast
 
-    def _survival_row(self, run: Running | AdmitRequest, n_so_far: int) -> list[float]:
+    def _survival_row(
+        self, run: RunningGeneration | AdmitRequest, n_so_far: int
+    ) -> list[float]:
         length_class = prompt_class(self._model, run.n_prompt_tokens)
         curve = self._lengths.curve(length_class, run.organisation)
         row = curve.survival_row(n_so_far, FORECAST_STEPS)
@@ -188,7 +190,7 @@
         variance[i] += n_tokens * n_tokens * p * (1.0 - p)
 
 
-def _estimate_tokens(run: Running, view: EngineView, now: float) -> int:
+def _estimate_tokens(run: RunningGeneration, view: EngineView, now: float) -> int:
     if not run.n_tokens:
         return 0
     # Progress arrives in batches, so the tokens generated since the last batch are
--- a/celerytrail/policies/engineview.py
+++ b/celerytrail/policies/engineview.py
@@ -30,7 +30,7 @@
 
 
 @dataclass(kw_only=True, slots=True)
-class Running:
+class RunningGeneration:
     """One generation on an engine, as far as this node knows.
 
     Parameters
@@ -66,8 +66,8 @@
     # The latest of: when the engine was added, a report was true, progress arrived.
     heard_at: float = float("-inf")
     # This node's generations by grant id, and those that only reports list.
-    running: dict[str, Running] = field(default_factory=dict)
-    foreign: dict[str, Running] = field(default_factory=dict)
+    running: dict[str, RunningGeneration] = field(default_factory=dict)
+    foreign: dict[str, RunningGeneration] = field(default_factory=dict)
     # When recently ended generations ended, by grant id.
     ended: dict[str, float] = field(default_factory=dict)
     n_own_tokens: int = 0
@@ -160,7 +160,7 @@
         if view is None or grant_id in view.running:
             return
         view.foreign.pop(grant_id, None)
-        view.running[grant_id] = Running(
+        view.running[grant_id] = RunningGeneration(
             organisation=req.organisation,
             n_prompt_tokens=req.n_prompt_tokens,
             n_max_tokens=req.n_max_tokens,
@@ -172,7 +172,9 @@
         view.n_granted += 1
         self._engine_of[grant_id] = engine
 
-    def progress(self, grant_id: str, n_tokens: int, now: float) -> Running | None:
+    def progress(
+        self, grant_id: str, n_tokens: int, now: float
+    ) -> RunningGeneration | None:
         """Record a generation's number of tokens; return None if it is unknown."""
         view = self.view_of(grant_id)
         if view is None:
@@ -186,7 +188,7 @@
             view.heard_at = now
         return run
 
-    def finish(self, grant_id: str, now: float) -> Running | None:
+    def finish(self, grant_id: str, now: float) -> RunningGeneration | None:
         """Remove a generation and return it; None if it is unknown."""
         view = self.view_of(grant_id)
         if view is None:
@@ -266,7 +268,7 @@
         # Reports don't list prompts: the unexplained tokens are split evenly.
         n_prompt_tokens = n_unexplained // len(foreign_tokens) if foreign_tokens else 0
         view.foreign = {
-            grant_id: Running(
+            grant_id: RunningGeneration(
                 organisation="",
                 n_prompt_tokens=n_prompt_tokens,
                 n_max_tokens=1 << 20,
@@ -291,7 +293,7 @@
 
 
 def _update_stream_rate(
-    view: EngineView, run: Running, n_tokens: int, now: float
+    view: EngineView, run: RunningGeneration, n_tokens: int, now: float
 ) -> None:
     seconds = now - run.progress_at
     if run.n_tokens and seconds > 0:
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -1,4 +1,4 @@
-"""Tests of admission and the books it goes by."""
+"""Tests of admission control and of the engine state that it uses."""
 
 from __future__ import annotations
 
@@ -33,80 +33,82 @@
 
 
 @pytest.fixture
-def book() -> EngineBook:
-    book = EngineBook()
+def tracker() -> EngineBook:
+    tracker = EngineBook()
     spec = EngineSpec(name="e0", address="", failure_domain="a", model="m")
-    book.set_engines([spec], 0.0)
-    book.report(make_report(1), 0.0)
-    return book
+    tracker.set_engines([spec], 0.0)
+    tracker.report(make_report(1), 0.0)
+    return tracker
 
 
 @pytest.fixture
 def lengths() -> LearnedLengths:
     lengths = LearnedLengths()
-    kind = prompt_class("m", 100)
+    length_class = prompt_class("m", 100)
     rng = random.Random(1)
     for _ in range(300):
         n_tokens = int(rng.lognormvariate(7, 0.6))
-        lengths.advance(kind, "o", 0, n_tokens)
-        lengths.end(kind, "o", n_tokens, censored=False)
+        lengths.advance(length_class, "o", 0, n_tokens)
+        lengths.end(length_class, "o", n_tokens, censored=False)
     return lengths
 
 
-def fill(policy, book, *, most: int = 200) -> int:
-    view = book.views["e0"]
-    for n in range(most):
+def grant_until_full(policy, tracker, *, max_grants: int = 200) -> int:
+    view = tracker.views["e0"]
+    for n in range(max_grants):
         req = make_request(n)
         if policy.room(view, req, 1.0) < 0:
             return n
         policy.granted(view, req, 1.0)
-        book.grant(f"g{n}", "e0", req, 1.0)
-    return most
+        tracker.grant(f"g{n}", "e0", req, 1.0)
+    return max_grants
 
 
 class TestPredictedPeak:
-    def test_counts_growth_that_has_not_come_yet(self, book, lengths):
-        """Ten drafts start together on an empty engine, whose memory looks free. When
-        all have grown it is full, and the bandleader's draft stalls midway.
+    def test_counts_growth_still_to_come(self, tracker, lengths):
+        """Ten generations start together on an empty engine, whose memory looks free.
+        It is full once all have grown; if admission ignored the growth, some of them
+        would stall midway.
         """
-        n_granted = fill(PredictedPeak(lengths=lengths, model="m"), book)
+        n_granted = grant_until_full(PredictedPeak(lengths=lengths, model="m"), tracker)
         assert 8 <= n_granted <= 16
-        book.views["e0"].running.clear()
-        assert fill(AlwaysAdmit(), book) == 200
+        tracker.views["e0"].running.clear()
+        assert grant_until_full(AlwaysAdmit(), tracker) == 200
 
-    def test_preemptions_raise_the_margin_once_a_report(self, book, lengths):
+    def test_preemptions_raise_the_margin_once_per_report(self, tracker, lengths):
         policy = PredictedPeak(lengths=lengths, model="m")
         before = policy.margin("e0")
-        book.report(make_report(2, n_preemptions=12), 1.0)
-        policy.observe(book.views["e0"])
+        tracker.report(make_report(2, n_preemptions=12), 1.0)
+        policy.observe(tracker.views["e0"])
         assert before < policy.margin("e0") < before + 0.3
 
 
 class TestEngineBook:
-    def test_report_that_hides_load_is_not_believed(self, book, lengths):
-        """An engine reports a tenth of what it holds. Whoever believes it sends all
-        new work there, and the drafts on it are preempted again and again.
+    def test_report_that_understates_use_is_not_believed(self, tracker, lengths):
+        """An engine reports a tenth of its memory use. A scheduler that believed it
+        would send all new work there, and its generations would be preempted
+        repeatedly.
         """
         policy = PredictedPeak(lengths=lengths, model="m")
-        fill(policy, book)
-        view = book.views["e0"]
+        grant_until_full(policy, tracker)
+        view = tracker.views["e0"]
         for grant_id in view.running:
-            book.progress(grant_id, 500, 2.0)
-        book.report(make_report(2, n_used_tokens=600), 3.0, age=0.5)
+            tracker.progress(grant_id, 500, 2.0)
+        tracker.report(make_report(2, n_used_tokens=600), 3.0, age=0.5)
         assert view.n_underreports == 1
         assert policy.room(view, make_request(999), 3.0) < 0
 
-    def test_other_nodes_work_is_taken_from_the_report(self, book):
+    def test_other_nodes_generations_are_taken_from_the_report(self, tracker):
         running = (("x1", 300), ("x2", 500))
-        book.report(make_report(2, n_used_tokens=1200, running=running), 1.0)
-        assert book.views["e0"].n_used_tokens == 1200
+        tracker.report(make_report(2, n_used_tokens=1200, running=running), 1.0)
+        assert tracker.views["e0"].n_used_tokens == 1200
 
-    def test_reports_that_overtake_each_other_are_dropped(self, book):
-        assert book.report(make_report(3), 1.0)
-        assert not book.report(make_report(2, n_used_tokens=9000), 1.1)
+    def test_older_report_after_newer_is_dropped(self, tracker):
+        assert tracker.report(make_report(3), 1.0)
+        assert not tracker.report(make_report(2, n_used_tokens=9000), 1.1)
 
-    def test_restart_frees_what_was_lost(self, book):
-        book.grant("g1", "e0", make_request(), 1.0)
+    def test_restart_frees_the_lost_memory(self, tracker):
+        tracker.grant("g1", "e0", make_request(), 1.0)
         report = EngineReport(
             engine="e0",
             incarnation="i2",
@@ -115,5 +117,5 @@
             n_memory_tokens=10_000,
             n_used_tokens=0,
         )
-        book.report(report, 5.0)
-        assert book.views["e0"].n_used_tokens == 0
+        tracker.report(report, 5.0)
+        assert tracker.views["e0"].n_used_tokens == 0
--- a/tests/test_fairness.py
+++ b/tests/test_fairness.py
@@ -1,4 +1,4 @@
-"""Tests of fairness between organisations."""
+"""Tests of fair queueing between organisations."""
 
 from __future__ import annotations
 
@@ -7,13 +7,13 @@
 from celerytrail.policies.fairness import ArrivalQueue, FairQueue
 from celerytrail.policies.grants import AdmitRequest
 
-NUMBERS = itertools.count()
+REQUEST_NUMBERS = itertools.count()
 
 
 def push(queue, organisation: str, *, weight: float = 1.0, priority: int = 5):
     queue.push(
         AdmitRequest(
-            request_id=f"r{next(NUMBERS)}",
+            request_id=f"r{next(REQUEST_NUMBERS)}",
             organisation=organisation,
             model="m",
             n_prompt_tokens=10,
@@ -25,9 +25,9 @@
     )
 
 
-def serve(queue, n: int, *, cost: float = 100.0) -> dict[str, int]:
+def serve(queue, n_requests: int, *, cost: float = 100.0) -> dict[str, int]:
     served: dict[str, int] = {}
-    for _ in range(n):
+    for _ in range(n_requests):
         req = next(queue.heads())
         queue.remove(req.request_id)
         queue.charge(req.organisation, cost)
@@ -36,18 +36,18 @@
 
 
 class TestFairQueue:
-    def test_flood_does_not_delay_the_small(self):
-        """One organisation sends a hundred requests at once, another ten a moment
-        later. In order of arrival the small one's parents would wait behind them all.
+    def test_flood_does_not_delay_a_small_organisation(self):
+        """One organisation sends a hundred requests at once, another ten just after.
+        In order of arrival, the ten would wait behind the hundred.
         """
         served = {}
-        for kind in (FairQueue, ArrivalQueue):
-            queue = kind()
+        for queue_class in (FairQueue, ArrivalQueue):
+            queue = queue_class()
             for _ in range(100):
                 push(queue, "large")
             for _ in range(10):
                 push(queue, "small")
-            served[kind] = serve(queue, 20)
+            served[queue_class] = serve(queue, 20)
         assert served[FairQueue] == {"large": 10, "small": 10}
         assert "small" not in served[ArrivalQueue]
 
@@ -62,9 +62,9 @@
         assert 40 <= served["urgent"] <= 50
         assert served["plain"] >= 15
 
-    def test_idling_earns_nothing(self):
-        """An organisation is quiet for an hour and then sends a burst. Had it saved up
-        its share of the hour, everybody else would stand still until it is through.
+    def test_idle_time_earns_no_credit(self):
+        """An organisation is idle for an hour and then sends a burst. With credit for
+        that hour, it would block all others until the burst is served.
         """
         queue = FairQueue()
         push(queue, "idler")
--- a/tests/test_lengths.py
+++ b/tests/test_lengths.py
@@ -1,4 +1,4 @@
-"""Tests of learned lengths."""
+"""Tests of the length forecasts."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class TestLearnedLengths:
-    def test_cold_start_is_moderate(self):
+    def test_prior_mean_is_moderate(self):
         assert 300 < LearnedLengths().expected_residual("m", "o", 0) < 1200
 
     def test_learns_the_mean_and_the_residual(self):
@@ -26,9 +26,9 @@
             learn(lengths, n_tokens)
         mean = sum(sample) / len(sample)
         assert lengths.expected_residual("m", "o", 0) == pytest.approx(mean, rel=0.25)
-        long = [n - 1000 for n in sample if n > 1000]
-        residual = lengths.expected_residual("m", "o", 1000)
-        assert residual == pytest.approx(sum(long) / len(long), rel=0.4)
+        residuals = [n - 1000 for n in sample if n > 1000]
+        forecast = lengths.expected_residual("m", "o", 1000)
+        assert forecast == pytest.approx(sum(residuals) / len(residuals), rel=0.4)
         median = sorted(sample)[len(sample) // 2]
         assert lengths.quantile_residual("m", "o", 0, 0.5) == pytest.approx(
             median, rel=0.2
@@ -42,8 +42,8 @@
         assert lengths.expected_residual("m", "new", 0) > 600
 
     def test_cancelled_generations_do_not_shorten_the_forecast(self):
-        """Callers give up half of all drafts early. If those counted as short drafts,
-        engines would be filled with drafts that then run out of memory midway.
+        """Callers cancel half of all generations early. If these counted as short
+        ones, engines would be overfilled and run out of memory midway.
         """
         lengths = LearnedLengths()
         for _ in range(1000):
@@ -51,10 +51,10 @@
             learn(lengths, 200, censored=True)
         assert lengths.expected_residual("m", "o", 0) > 1500
 
-    def test_drift_is_taken_up_within_a_hundred(self):
-        """An operator loads a new version of a model that answers ten times longer.
-        With the old counts in full weight, engines would be overfilled for hours and
-        drafts would stall.
+    def test_drift_is_learned_within_a_hundred_generations(self):
+        """An operator loads a new version of a model whose answers are ten times as
+        long. With the old counts at full weight, engines would be overfilled for hours
+        and generations would stall.
         """
         rng = random.Random(2)
         lengths = LearnedLengths()
@@ -64,9 +64,9 @@
             learn(lengths, int(rng.lognormvariate(5, 0.5) * 10))
         assert lengths.expected_residual("m", "o", 0) > 800
 
-    def test_steady_lengths_raise_no_alarm(self):
-        """Lengths vary widely without any drift. If chance passed for drift, what was
-        learned would be thrown away again and again, and answers refused for nothing.
+    def test_steady_lengths_are_not_taken_for_drift(self):
+        """Lengths vary widely without any drift. If chance were taken for drift, the
+        learned counts would be discarded repeatedly and requests refused needlessly.
         """
         rng = random.Random(3)
         lengths = LearnedLengths()
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -1,4 +1,4 @@
-"""Tests of limits lent out over many nodes."""
+"""Tests of limits that are lent to many nodes."""
 
 from __future__ import annotations
 
@@ -10,13 +10,18 @@
 LIMIT = Limit(n_tokens_per_second=1000, n_concurrent=24)
 
 
-def run(*, seconds: float, lender_until: float, node_rates: list[float], seed: int):
-    """Return tokens taken and the highest number of places used at once."""
+def simulate(
+    *, seconds: float, lender_until: float, node_rates: list[float], seed: int
+):
+    """Return the tokens taken and the most places used at once.
+
+    The lender stops answering at ``lender_until``.
+    """
     rng = random.Random(seed)
     lender = LimitLender()
     borrowers = [LimitBorrower(name=f"n{i}") for i in range(len(node_rates))]
     ends: list[tuple[float, int]] = []
-    n_tokens, n_places = 0.0, 0
+    n_tokens, max_places = 0.0, 0
     for step in range(int(seconds * 20)):
         now = step / 20
         for ended_at, i in [end for end in ends if end[0] <= now]:
@@ -32,43 +37,43 @@
                 if now < lender_until:
                     loan = lender.lend(req, LIMIT, n_nodes=N_NODES, now=now)
                     borrower.receive(loan, now)
-        n_places = max(n_places, len(ends))
-    return n_tokens, n_places
+        max_places = max(max_places, len(ends))
+    return n_tokens, max_places
 
 
 class TestTokenLimit:
     def test_holds_over_many_nodes(self):
         for seed in range(3):
-            n_tokens, _ = run(
+            n_tokens, _ = simulate(
                 seconds=60, lender_until=99, node_rates=[10.0] * N_NODES, seed=seed
             )
             assert 0.75 * 60_000 < n_tokens < 1.15 * 60_000
 
     def test_one_busy_node_gets_nearly_all(self):
         rates = [60.0] + [0.0] * (N_NODES - 1)
-        n_tokens, _ = run(seconds=60, lender_until=99, node_rates=rates, seed=1)
+        n_tokens, _ = simulate(seconds=60, lender_until=99, node_rates=rates, seed=1)
         assert n_tokens > 0.6 * 60_000
 
     def test_holds_without_lender(self):
-        """The limit home dies and its successor can't be reached. Were the entry
-        nodes to let all in, one organisation could flood the engines; were they to
-        refuse all, its callers would stand before a closed door.
+        """The limit home dies and its successor can't be reached. Entry nodes that
+        admitted every request would let one organisation flood the engines; refusing
+        every request would shut it out.
         """
-        n_tokens, _ = run(
+        n_tokens, _ = simulate(
             seconds=60, lender_until=10, node_rates=[10.0] * N_NODES, seed=1
         )
         assert 0.5 * 60_000 < n_tokens < 1.2 * 60_000
 
 
 class TestPlaces:
-    def test_new_home_gives_no_second_set(self):
-        """A limit home is replaced while all places are out. The new one must not
-        lend them again, or the organisation runs twice what it may.
+    def test_new_home_does_not_lend_places_twice(self):
+        """A limit home is replaced while all places are lent. If the new one lent them
+        again, the organisation would use twice its limit.
         """
         old, new = LimitLender(), LimitLender()
         limit = Limit(n_concurrent=24)
-        early = LoanRequest(organisation="o", borrower="a", n_places=1)
-        old.lend(early, limit, n_nodes=N_NODES, now=-20.0)
+        first_req = LoanRequest(organisation="o", borrower="a", n_places=1)
+        old.lend(first_req, limit, n_nodes=N_NODES, now=-20.0)
         loan = old.lend(
             LoanRequest(organisation="o", borrower="a", n_places=24),
             limit,
@@ -92,11 +97,11 @@
         )
         assert loan.n_places == 20
 
-    def test_dead_borrower_returns_its_places(self):
+    def test_places_of_a_dead_borrower_expire(self):
         lender = LimitLender()
         limit = Limit(n_concurrent=4)
-        ask = LoanRequest(organisation="o", borrower="a", n_places=4)
-        lender.lend(ask, limit, n_nodes=1, now=0.0)
+        req = LoanRequest(organisation="o", borrower="a", n_places=4)
+        lender.lend(req, limit, n_nodes=1, now=0.0)
         other = LoanRequest(organisation="o", borrower="b", n_places=4)
         assert lender.lend(other, limit, n_nodes=1, now=5.0).n_places == 0
         assert lender.lend(other, limit, n_nodes=1, now=11.0).n_places == 4
--- a/tests/test_scheduler.py
+++ b/tests/test_scheduler.py
@@ -46,7 +46,7 @@
         assert isinstance(decision, Granted)
         assert decision.grant.home == "n1"
 
-    def test_full_pool_makes_wait_then_grants_on_finish(self):
+    def test_full_pool_queues_then_grants_on_finish(self):
         scheduler = make_scheduler(n_engines=1)
         granted = []
         while decisions := scheduler.submit(make_request(f"r{len(granted)}"), 0.0):
@@ -68,10 +68,10 @@
         assert decision.not_run.retry_after > 0
         assert scheduler.n_waiting == 0
 
-    def test_asking_again_gives_the_same_grant(self):
-        """The answer to an asking is lost between two nodes and the entry node asks
-        again. With a second grant the room of the first would stay taken, and callers
-        would wait before an engine that stands half empty.
+    def test_repeated_request_gets_the_same_grant(self):
+        """An answer is lost between two nodes and the entry node repeats its request.
+        A second grant would leave the memory of the first reserved, and callers would
+        wait although the engine is half empty.
         """
         scheduler = make_scheduler()
         (first,) = scheduler.submit(make_request("r1"), 0.0)
@@ -79,14 +79,14 @@
         assert first.grant == second.grant
         assert scheduler.n_live == 1
 
-    def test_leaving_engine_gets_nothing(self):
+    def test_leaving_engine_gets_no_grants(self):
         scheduler = make_scheduler(n_engines=1)
         scheduler.report(make_report("e0", sequence=2, leaving_at=60.0), 0.0)
         assert scheduler.submit(make_request("r1"), 0.0) == []
 
     def test_unknown_progress_can_be_adopted(self):
-        """A home dies and the next in rank takes over with no books. Until it knows
-        the generations that run, it would fill engines that are full already.
+        """A home dies and the next in rank takes over without its state. Until it
+        knows the running generations, it would overload engines that are full already.
         """
         old = make_scheduler(n_engines=1)
         request = make_request("r1")
