--- a/celerytrail/policies/admission.py
+++ b/celerytrail/policies/admission.py
@@ -169,7 +169,7 @@
             FORECAST_STEPS, row, forecast.mean, forecast.variance, strict=False
         ):
             # The request hardly contributes to peaks after its likely end. If these
-            # counted, a short answer would wait behind two long drafts.
+            # counted, a short answer would wait behind two long ones.
             if p < MIN_PEAK_PROBABILITY:
                 break
             n_tokens = req.n_prompt_tokens + n_steps
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -83,7 +83,7 @@
         assert before < policy.margin("e0") < before + 0.3
 
 
-class TestEngineBook:
+class TestEngineState:
     def test_report_that_understates_use_is_not_believed(self, tracker, lengths):
         """An engine reports a tenth of its memory use. A scheduler that believed it
         would send all new work there, and its generations would be preempted
