--- a/celerytrail/policies/engineloads.py
+++ b/celerytrail/policies/engineloads.py
@@ -1,4 +1,4 @@
-"""What runs on each engine, put together from what all nodes say they sent there."""
+"""Load estimate of each engine, from the runs that all nodes have announced."""
 
 from __future__ import annotations
 
@@ -6,33 +6,33 @@
 from dataclasses import dataclass, replace
 
 from ..model import EngineReport, Registration
-from .repeats import SHORTEST_SECONDS, forget_seconds
+from .repeats import SHORTEST_SECONDS, expiry_seconds
 
-# Runs of a node that was not heard of for so long are forgotten, in seconds, or later
-# where its lists come less often.
-SILENT_SECONDS = 4.0
+# The runs of a node expire after this many seconds without an update from it, or later
+# if its lists are less frequent.
+NODE_EXPIRY_SECONDS = 4.0
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Run:
-    """A generation that some node has placed.
+    """A generation that a node has placed on an engine.
 
     Parameters
     ----------
     run_id : str
-        Its name, unique among all nodes' runs.
+        Its id, unique among the runs of all nodes.
     endpoint : str
-        The engine that works on it.
+        The engine that runs it.
     n_prompt_tokens, n_expected_tokens : int
-        Size of its prompt, and of the output to reckon with.
+        Size of its prompt and of its expected output.
     backup : str
         The engine that holds a copy of it; may be empty.
     is_reading : bool
-        Whether its prompt is still being read.
+        Whether its prefill is in progress.
     n_made_tokens : int
-        Output made so far, as of the last list of runs.
+        Output made so far, as of the last update.
     is_moving : bool
-        Whether ``backup`` is where it is being moved to.
+        Whether ``backup`` is the target of a migration in progress.
     """
 
     run_id: str
@@ -46,16 +46,16 @@
 
     @property
     def n_remaining_tokens(self) -> int:
-        """Return the output that is still to be expected, in tokens."""
+        """Return the expected further output, in tokens."""
         return max(0, self.n_expected_tokens - self.n_made_tokens)
 
     @property
     def has_copy(self) -> bool:
-        """Return whether a copy of it grows elsewhere."""
+        """Return whether another engine maintains a copy of it."""
         return bool(self.backup) and not self.is_moving
 
-    def after(self, seconds: float, token_seconds: float) -> Run:
-        """Return the run as it is to be expected some seconds after it was named."""
+    def projected(self, seconds: float, token_seconds: float) -> Run:
+        """Return the run as expected ``seconds`` after its last update."""
         if self.is_reading or seconds <= 0 or token_seconds <= 0:
             return self
         return replace(
@@ -64,28 +64,28 @@
 
     @property
     def n_tokens(self) -> int:
-        """Return the memory that it takes now, in tokens."""
+        """Return the memory that it occupies now, in tokens."""
         return self.n_prompt_tokens + self.n_made_tokens
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class EngineLoad:
-    """An engine as a placing decision sees it.
+    """State of an engine on which a placement decision is based.
 
     Parameters
     ----------
     reg : Registration
         The engine.
     n_slots, n_memory_tokens : int
-        What it has.
+        Its capacity.
     runs : tuple of Run
-        What was placed there and has not ended, as far as is known.
+        Runs that were placed there and are not known to have ended.
     copies : tuple of Run
-        Runs elsewhere that it holds copies of.
+        Runs on other engines of which it holds copies.
     token_seconds : float
-        The seconds that it takes for a token of one run.
+        Decode time per token of one run, in seconds.
     report : EngineReport or None
-        What it said of itself last.
+        Its last report.
     """
 
     reg: Registration
@@ -98,67 +98,73 @@
 
     @property
     def n_reading_tokens(self) -> int:
-        """Return the prompt tokens that it has yet to read."""
+        """Return the prompt tokens whose prefill isn't complete."""
         return sum(run.n_prompt_tokens for run in self.runs if run.is_reading)
 
     @property
     def n_tokens(self) -> int:
-        """Return the memory that is taken now, in tokens."""
+        """Return the memory in use now, in tokens."""
         return sum(run.n_tokens for run in (*self.runs, *self.copies))
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
-class _Named:
+class _ListedRun:
     run: Run
-    at: float
+    updated_at: float
 
 
 @dataclass(kw_only=True, slots=True)
 class _NodeRuns:
-    heard_at: float
-    forget_seconds: float
-    named: dict[str, _Named]
+    updated_at: float
+    expiry_seconds: float
+    listed: dict[str, _ListedRun]
 
     @property
     def runs(self) -> list[Run]:
-        return [named.run for named in self.named.values()]
+        return [listed.run for listed in self.listed.values()]
 
     @property
-    def silent_until(self) -> float:
-        """Return until when the node's runs stand though it says nothing."""
-        return self.heard_at + max(SILENT_SECONDS, self.forget_seconds)
-
-    def hear(self, now: float, period_seconds: float) -> None:
-        """Note that the node spoke, and how often it repeats its list."""
-        self.heard_at = now
-        self.forget_seconds = forget_seconds(period_seconds)
-
-    def forget_unnamed(self) -> None:
-        """Forget runs whose end was not heard.
-
-        A list of many runs goes out in parts, none of which says that there are no
-        others. The datagram with a run's end may be lost; the run's memory would count
-        as taken until the node falls silent, and callers be refused with engines free.
+    def expires_at(self) -> float:
+        """Return when the node's runs expire without a further update from it."""
+        return self.updated_at + max(NODE_EXPIRY_SECONDS, self.expiry_seconds)
+
+    def on_update(self, now: float, period_seconds: float) -> None:
+        """Record the time of an update, and the period at which the list repeats."""
+        self.updated_at = now
+        self.expiry_seconds = expiry_seconds(period_seconds)
+
+    def expire_unlisted(self) -> None:
+        """Remove the runs that the node no longer lists.
+
+        A list of many runs is sent in parts, none of which says that it is complete.
+        The datagram with a run's end may be lost. The run's memory would then count as
+        used until the node expires, and callers would be refused while engines are
+        free.
         """
-        oldest = self.heard_at - self.forget_seconds
-        ended = [run_id for run_id, named in self.named.items() if named.at < oldest]
+        oldest = self.updated_at - self.expiry_seconds
+        ended = [
+            run_id
+            for run_id, listed in self.listed.items()
+            if listed.updated_at < oldest
+        ]
         for run_id in ended:
-            del self.named[run_id]
+            del self.listed[run_id]
 
 
 class EngineLoads:
-    """The runs of all nodes, by engine.
+    """Table of the runs of all nodes, from which engine loads are estimated.
 
-    Each node tells the others at once what it places and what ends, and repeats its
-    list while it has runs; what is lost on the way is mended by the next such list.
-    Engines' own reports are half a second old, too old to keep nodes that decide at
-    the same time from choosing the same engine.
+    Each node announces placements and ends at once and repeats its list while it has
+    runs; the next list makes up for lost datagrams. The engines' own reports are half a
+    second old, too old to keep nodes that decide at the same time from choosing the
+    same engine.
 
     Parameters
     ----------
     token_seconds : callable or None
-        Returns the seconds that an engine takes for a token of one run, by which other
-        nodes' runs are reckoned on between two lists; without it they stand still.
+        Returns the decode time per token of one run on an engine, in seconds. The
+        progress of other nodes' runs is extrapolated with it between two lists; without
+        it, it stays as last announced.
     """
 
     def __init__(self, *, token_seconds: Callable[[str], float] | None = None) -> None:
@@ -168,8 +174,8 @@
 
     @property
     def n_speaking(self) -> int:
-        """Return how many nodes have runs, as far as is known."""
-        return sum(bool(known.named) for known in self._nodes.values())
+        """Return the number of nodes that are known to have runs."""
+        return sum(bool(node_runs.listed) for node_runs in self._nodes.values())
 
     def put(
         self,
@@ -179,19 +185,19 @@
         *,
         period_seconds: float = SHORTEST_SECONDS,
     ) -> None:
-        """Note a run, or what changed of it.
+        """Add or update a run of a node.
 
-        ``period_seconds`` is how often its node repeats its list.
+        ``period_seconds`` is the period at which the node repeats its list.
         """
-        known = self._hear(node, now, period_seconds)
-        known.named[run.run_id] = _Named(run=run, at=now)
+        node_runs = self._update_node(node, now, period_seconds)
+        node_runs.listed[run.run_id] = _ListedRun(run=run, updated_at=now)
 
     def end(self, node: str, run_id: str, now: float) -> None:
-        """Note that a run ended."""
-        known = self._nodes.get(node)
-        if known is not None:
-            known.heard_at = now
-            known.named.pop(run_id, None)
+        """Remove a run that ended."""
+        node_runs = self._nodes.get(node)
+        if node_runs is not None:
+            node_runs.updated_at = now
+            node_runs.listed.pop(run_id, None)
 
     def replace(
         self,
@@ -201,51 +207,53 @@
         *,
         period_seconds: float = SHORTEST_SECONDS,
     ) -> None:
-        """Note all runs of a node."""
-        known = self._hear(node, now, period_seconds)
-        known.named = {run.run_id: _Named(run=run, at=now) for run in runs}
+        """Replace all runs of a node by a complete list."""
+        node_runs = self._update_node(node, now, period_seconds)
+        node_runs.listed = {
+            run.run_id: _ListedRun(run=run, updated_at=now) for run in runs
+        }
 
     def of_node(self, node: str) -> list[Run]:
         """Return all runs of a node."""
-        known = self._nodes.get(node)
-        return known.runs if known else []
+        node_runs = self._nodes.get(node)
+        return node_runs.runs if node_runs else []
 
     def on_engine(self, endpoint: str) -> list[Run]:
-        """Return all nodes' runs on an engine, as they were named last."""
+        """Return all nodes' runs on an engine, as of their last update."""
         return [
             run
-            for known in self._nodes.values()
-            for run in known.runs
+            for node_runs in self._nodes.values()
+            for run in node_runs.runs
             if run.endpoint == endpoint
         ]
 
     def expire(self, now: float, own: str) -> None:
-        """Forget the runs of nodes that fell silent, and those that ended unheard.
+        """Remove the runs of silent nodes, and runs that are no longer listed.
 
-        Never those of ``own``.
+        The runs of ``own``, this node, never expire.
         """
-        for node, known in list(self._nodes.items()):
+        for node, node_runs in list(self._nodes.items()):
             if node == own:
                 continue
-            known.forget_unnamed()
-            if not known.named or now > known.silent_until:
+            node_runs.expire_unlisted()
+            if not node_runs.listed or now > node_runs.expires_at:
                 del self._nodes[node]
 
     def note_report(self, endpoint: str, report: EngineReport) -> None:
-        """Note what an engine said of itself."""
+        """Record the last report of an engine."""
         self._reports[endpoint] = report
 
     def forget_report(self, endpoint: str) -> None:
-        """Let go of what an engine said that is gone."""
+        """Discard the last report of an engine that is gone."""
         self._reports.pop(endpoint, None)
 
     def loads(self, empty: list[EngineLoad], now: float) -> list[EngineLoad]:
-        """Return engines with what all nodes placed there, as it is to be expected."""
+        """Return the loads of engines with the runs of all nodes, as expected now."""
         runs: dict[str, list[Run]] = {}
         copies: dict[str, list[Run]] = {}
-        for known in self._nodes.values():
-            for named in known.named.values():
-                run = self._reckoned(named, now)
+        for node_runs in self._nodes.values():
+            for listed in node_runs.listed.values():
+                run = self._projected(listed, now)
                 runs.setdefault(run.endpoint, []).append(run)
                 if run.backup:
                     copies.setdefault(run.backup, []).append(run)
@@ -259,16 +267,16 @@
             for load in empty
         ]
 
-    def _reckoned(self, named: _Named, now: float) -> Run:
+    def _projected(self, listed: _ListedRun, now: float) -> Run:
         if self._token_seconds is None:
-            return named.run
-        run = named.run
-        return run.after(now - named.at, self._token_seconds(run.endpoint))
-
-    def _hear(self, node: str, now: float, period_seconds: float) -> _NodeRuns:
-        known = self._nodes.get(node)
-        if known is None:
-            known = _NodeRuns(heard_at=now, forget_seconds=0.0, named={})
-            self._nodes[node] = known
-        known.hear(now, period_seconds)
-        return known
+            return listed.run
+        run = listed.run
+        return run.projected(now - listed.updated_at, self._token_seconds(run.endpoint))
+
+    def _update_node(self, node: str, now: float, period_seconds: float) -> _NodeRuns:
+        node_runs = self._nodes.get(node)
+        if node_runs is None:
+            node_runs = _NodeRuns(updated_at=now, expiry_seconds=0.0, listed={})
+            self._nodes[node] = node_runs
+        node_runs.on_update(now, period_seconds)
+        return node_runs
--- a/celerytrail/policies/placing.py
+++ b/celerytrail/policies/placing.py
@@ -1,8 +1,8 @@
-"""Which engine a generation goes to, and which one keeps a copy of it.
+"""Choice of the engine that runs a generation, and of the one that keeps its backup.
 
-The load that this answers: drafts of some thousand prompt tokens arrive in bursts at
-many nodes at once, each takes memory until its end, and prompts that are read side by
-side on one engine slow down every token there.
+The workload: drafts with some thousand prompt tokens arrive in bursts at many nodes at
+once. Each occupies memory until it ends, and concurrent prefills on one engine slow
+down every token that the engine makes.
 """
 
 from __future__ import annotations
@@ -17,67 +17,69 @@
 
 from ..model import Registration
 from .engineloads import EngineLoad
-from .readrates import USUAL_RATE
+from .readrates import DEFAULT_PREFILL_RATE
 
-# Share of an engine's memory that is expected to be taken at any time to come; the
-# rest is for outputs that are longer than hinted.
+# Largest expected share of an engine's memory in use at any future time. The rest is
+# for outputs that are longer than their hint.
 MEMORY_SHARE = 0.85
-# The same for copies: what is left is for new generations.
+# The same limit for copies; the difference is reserved for new generations.
 COPY_SHARE = 0.6
-# The same for copies of runs whose engine has more than its link can move in time.
+# The same limit for copies of runs on an engine that holds more than its link can
+# move before the engine stops.
 NEEDED_COPY_SHARE = 0.72
-# The same for a run that is moved off an engine that leaves, and would be lost.
+# The same limit for a run that is moved off a leaving engine and would otherwise be
+# lost.
 MOVE_SHARE = 0.9
-# Share of the target within which the prompts ahead of a generation, and its own, must
-# be read. The rest of it is for the way, for the first token and for engines that are
-# slower than reckoned.
+# Share of the target for the first token within which the queued prompts and the
+# generation's own must be read. The rest covers network latency, the decode of the
+# first token and engines that are slower than estimated.
 READ_SHARE = 0.65
-# What a full memory costs, in seconds of waiting for the first token, and what each
-# further share of it costs beyond the share at which engines begin to crowd.
+# All costs are in seconds of waiting for the first token. The expected share of memory
+# in use is multiplied by MEMORY_COST. What exceeds CROWDED_SHARE, where engines begin
+# to be crowded, is multiplied by CROWDED_COST and added.
 MEMORY_COST = 0.4
 CROWDED_SHARE = 0.7
 CROWDED_COST = 3.0
-# What a second by which the reading of a prompt delays one other run costs, in the
-# same unit. While a prompt is read, each step of its engine takes twice as long for all
-# runs there. Short answers so gather where few long ones run.
+# Cost of each second by which the prefill delays one other run. During a prefill each
+# step of the engine takes twice as long for all of its runs. This directs short answers
+# to engines with few long runs.
 DELAY_COST = 0.3
-# What a second that an output takes to be made costs, in the same unit: meanwhile its
-# memory is missing to others, and its engine or node may be lost with it.
+# Cost of each second of decode: until its end the run occupies memory that others
+# need, and the loss of its engine or node would lose the output.
 OUTPUT_COST = 0.12
-# What each request that waits in an engine's own queue costs, in the same unit.
+# Cost of each request that waits in the engine's own queue.
 QUEUE_COST = 0.3
-# What an engine that is still slow after its start costs, in the same unit, for each
-# second that is left of it.
+# Cost of each second that remains of an engine's slow phase after its start.
 COLD_COST = 0.5
-# What another failure domain costs a new generation, in the same unit; breaks ties.
-FAR_COST = 0.02
-# What it costs one that is moved: the copy takes twice as long, 0.2 s more, in which
-# the next one could have left an engine that is gone within two seconds.
+# Cost of another failure domain for a new generation; it only breaks ties.
+CROSS_DOMAIN_COST = 0.02
+# Cost of another failure domain for a run that is moved. The copy takes twice as long,
+# 0.2 s more, in which the next run could leave an engine that stops within two seconds.
 FAR_MOVE_COST = 1.5
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Demand:
-    """What a generation needs.
+    """Resources that a generation needs, and the limits for its placement.
 
     Parameters
     ----------
     n_tokens : int
-        Memory that it takes from the start: its prompt, and what was made of it.
+        Memory that it takes from the start: its prompt and the output made so far.
     n_reading_tokens : int
-        What of it must be read.
+        Tokens of these that need a prefill.
     n_remaining_tokens : int
-        Output to reckon with.
+        Expected further output.
     failure_domain : str
-        Where its caller's node runs, or the engine that it leaves.
+        Failure domain of its caller's node, or of the engine that it leaves.
     memory_share : float
-        The share of an engine's memory that may be expected to be taken with it.
+        Largest expected share of an engine's memory in use with it.
     far_cost : float
-        What another failure domain costs.
+        Cost of another failure domain, in seconds.
     read_rate : float
-        Prompt tokens that an engine reads a second.
+        Prompt tokens that an engine reads per second.
     read_seconds : float
-        Within how long the prompts there and its own must be read.
+        Time within which the queued prompts and its own must be read.
     """
 
     n_tokens: int
@@ -85,21 +87,21 @@
     n_remaining_tokens: int
     failure_domain: str = ""
     memory_share: float = MEMORY_SHARE
-    far_cost: float = FAR_COST
-    read_rate: float = USUAL_RATE
+    far_cost: float = CROSS_DOMAIN_COST
+    read_rate: float = DEFAULT_PREFILL_RATE
     read_seconds: float = math.inf
 
 
 def peak_tokens(sizes: Iterable[tuple[int, int]]) -> int:
-    """Return the most memory that runs will take together at any time to come.
+    """Return the peak memory that runs will occupy together, in tokens.
 
-    Each grows by a token a step until its end, and then gives all back. Ends don't
-    fall together, so this is less than the sum of what each takes at its end.
+    A run grows by one token per step and frees all of its memory at its end. Runs end
+    at different times, so the peak is below the sum of their final sizes.
 
     Parameters
     ----------
     sizes : iterable of (int, int)
-        Tokens that a run takes now, and that are still to be expected of it.
+        Tokens that each run occupies now, and the further output expected of it.
     """
     ordered = sorted(sizes, key=lambda size: size[1])
     total = sum(n_tokens for n_tokens, _ in ordered)
@@ -112,27 +114,28 @@
     return peak
 
 
-def expected_share(load: EngineLoad, demand: Demand) -> float:
-    """Return the largest share of an engine's memory that is to be expected."""
+def expected_memory_share(load: EngineLoad, demand: Demand) -> float:
+    """Return the expected peak share of an engine's memory in use."""
     sizes = [
         (run.n_tokens, run.n_remaining_tokens) for run in (*load.runs, *load.copies)
     ]
     sizes.append((demand.n_tokens, demand.n_remaining_tokens))
     n_tokens = peak_tokens(sizes)
     if load.report is not None:
-        # Copies that were left behind take memory of which no node knows any more.
+        # Orphaned copies occupy memory but are on no node's list.
         n_tokens = max(n_tokens, load.report.n_used_tokens + demand.n_tokens)
     return n_tokens / load.n_memory_tokens
 
 
-def is_read_in_time(load: EngineLoad, demand: Demand) -> bool:
-    """Return whether a generation's prompt is read there before it is late.
+def can_prefill_in_time(load: EngineLoad, demand: Demand) -> bool:
+    """Return whether an engine reads a generation's prompt in time.
 
-    More prompts come than engines read, in a burst or while one of few engines is
-    gone. Placed wherever memory is free, they queue up there, and each that is added
-    makes the first words of all behind it late: a second of burst is felt for ten.
-    What finds no short queue waits here, where any engine may take it, and is refused
-    in time. An engine that reads nothing takes any prompt.
+    In a burst, or while one of few engines is missing, prompts arrive faster than they
+    are read. Placed by free memory alone they would queue at the engines, and each
+    would delay the first token of all behind it: one second of burst would have an
+    effect for ten. A prompt that finds no short queue waits at the node instead, where
+    any engine may still take it, and is refused in time. An engine without a prefill
+    in progress accepts any prompt.
     """
     if load.n_reading_tokens == 0:
         return True
@@ -141,7 +144,7 @@
 
 
 class Obstacle(enum.Enum):
-    """Why an engine can't take a generation now."""
+    """Reason for which an engine can't accept a generation now."""
 
     NO_SLOT = "no_slot"
     PROMPTS_QUEUED = "prompts_queued"
@@ -149,31 +152,31 @@
 
 
 def find_obstacle(load: EngineLoad, demand: Demand) -> Obstacle | None:
-    """Return why an engine would not serve a generation in time and to its end."""
+    """Return why a generation can't be placed on an engine, None if it can."""
     if len(load.runs) >= load.n_slots:
         return Obstacle.NO_SLOT
-    if not is_read_in_time(load, demand):
+    if not can_prefill_in_time(load, demand):
         return Obstacle.PROMPTS_QUEUED
-    if expected_share(load, demand) > demand.memory_share:
+    if expected_memory_share(load, demand) > demand.memory_share:
         return Obstacle.NO_MEMORY
     return None
 
 
 def fits(load: EngineLoad, demand: Demand) -> bool:
-    """Return whether an engine serves a generation in time and holds it to its end."""
+    """Return whether an engine starts a generation in time and holds it to its end."""
     return find_obstacle(load, demand) is None
 
 
 def count_obstacles(loads: Iterable[EngineLoad], demand: Demand) -> dict[str, int]:
-    """Return on how many engines each obstacle stood in the way."""
+    """Return the number of engines by obstacle."""
     found = (find_obstacle(load, demand) for load in loads)
     return Counter(obstacle.value for obstacle in found if obstacle is not None)
 
 
 def cost(load: EngineLoad, demand: Demand) -> float:
-    """Return how bad an engine is, in seconds of waiting for the first token."""
+    """Return the cost of placing a generation on an engine, in seconds."""
     n_reading = load.n_reading_tokens + demand.n_reading_tokens
-    share = expected_share(load, demand)
+    share = expected_memory_share(load, demand)
     is_far = load.reg.failure_domain != demand.failure_domain
     return (
         n_reading / demand.read_rate
@@ -188,27 +191,27 @@
 
 
 class Placing(abc.ABC):
-    """Which engine a generation goes to."""
+    """Policy that chooses the engine of a generation."""
 
     @abc.abstractmethod
     def choose(
         self, loads: Sequence[EngineLoad], demand: Demand, rng: random.Random
     ) -> EngineLoad | None:
-        """Return the engine, None where the generation has to wait for room."""
+        """Return the chosen engine, or None if the generation has to wait."""
 
 
 class CheapestPlacing(Placing):
-    """The best engine that is expected to hold a generation to its end."""
+    """Chooses the least costly engine that can hold a generation to its end."""
 
     def choose(
         self, loads: Sequence[EngineLoad], demand: Demand, rng: random.Random
     ) -> EngineLoad | None:
-        """Return the fitting engine with the least cost."""
+        """Return the fitting engine with the lowest cost."""
         fitting = [load for load in loads if fits(load, demand)]
         if not fitting:
             return None
-        # Nodes that decide in the same millisecond see the same loads; where two
-        # engines are alike, chance keeps them apart.
+        # Nodes that decide in the same millisecond see the same loads. Random
+        # tie-breaking keeps them from all choosing the same of two equal engines.
         return min(
             fitting, key=lambda load: (round(cost(load, demand), 2), rng.random())
         )
@@ -222,11 +225,11 @@
     *,
     is_needed: bool,
 ) -> EngineLoad | None:
-    """Return the engine with the most room for a copy, None where none has enough.
+    """Return the engine with the most free memory for a copy, None if none has enough.
 
-    Only engines of the same failure domain as ``placed``: a copy to another one keeps
-    both links busy for twice as long, and the last step of a run that is moved, for
-    which its caller sees it stand still, then waits behind it for up to a second.
+    Only engines in the failure domain of ``placed`` qualify. A copy to another domain
+    occupies both links for twice as long. The final step of a run that is being moved,
+    during which its caller receives nothing, would queue behind it for up to a second.
     """
     best: EngineLoad | None = None
     best_share = NEEDED_COPY_SHARE if is_needed else COPY_SHARE
@@ -235,7 +238,7 @@
             continue
         if load.reg.failure_domain != placed.failure_domain:
             continue
-        share = expected_share(load, demand) + 0.001 * rng.random()
+        share = expected_memory_share(load, demand) + 0.001 * rng.random()
         if share < best_share:
             best, best_share = load, share
     return best
--- a/tests/test_relay_decisions.py
+++ b/tests/test_relay_decisions.py
@@ -11,10 +11,10 @@
 from celerytrail.policies import moving, placing
 from celerytrail.policies.endpointchoice import EndpointChoice
 from celerytrail.policies.engineloads import EngineLoad, EngineLoads, Run
-from celerytrail.policies.paces import USUAL_TOKEN_SECONDS, Paces
-from celerytrail.policies.readrates import USUAL_RATE, ReadRates
+from celerytrail.policies.paces import DEFAULT_TOKEN_SECONDS, Paces
+from celerytrail.policies.readrates import DEFAULT_PREFILL_RATE, ReadRates
 from celerytrail.policies.repeats import (
-    LISTS_PER_SECOND,
+    MAX_LISTS_PER_SECOND,
     N_EMPTY_LISTS,
     SHORTEST_SECONDS,
     Repeats,
@@ -207,13 +207,13 @@
         paces = Paces()
         paces.note(draft("a", "e1", n_made_tokens=10), 0.0)
         paces.note(draft("a", "e1", n_made_tokens=10), 0.01)
-        assert paces.token_seconds("e1") == USUAL_TOKEN_SECONDS
+        assert paces.token_seconds("e1") == DEFAULT_TOKEN_SECONDS
 
     def test_a_move_to_another_engine_starts_anew(self):
         paces = Paces()
         paces.note(draft("a", "e1", n_made_tokens=10), 0.0)
         paces.note(draft("a", "e2", n_made_tokens=500), 0.5)
-        assert paces.token_seconds("e2") == USUAL_TOKEN_SECONDS
+        assert paces.token_seconds("e2") == DEFAULT_TOKEN_SECONDS
 
     def test_a_run_that_stands_still_makes_its_engine_slow(self):
         paces = Paces()
@@ -309,7 +309,7 @@
         while not turns.may_begin(self.RUNS, at):
             at += 0.005
             assert at < 3.0
-        assert at >= moving.BEGIN_SECONDS
+        assert at >= moving.START_TIMEOUT_SECONDS
 
     def test_a_lost_node_with_a_copy_under_way_does_not_either(self):
         stuck = replace(self.RUNS[1], backup="e2", is_moving=True)
@@ -389,7 +389,7 @@
         # At hundreds of nodes a fixed period would fill small links with lists.
         for n_speaking in (1, 13, 102, 195, 330, 2_000):
             period = Repeats().period_seconds(n_speaking)
-            assert n_speaking / period <= LISTS_PER_SECOND
+            assert n_speaking / period <= MAX_LISTS_PER_SECOND
             assert period >= SHORTEST_SECONDS
 
     def test_a_node_falls_silent_some_lists_after_its_last_run(self):
@@ -622,7 +622,7 @@
 
     def test_an_engine_that_reads_nothing_takes_any_prompt(self):
         long = replace(DEMAND, n_reading_tokens=20_000, read_seconds=0.1)
-        assert placing.is_read_in_time(load("e1", draft("r1")), long)
+        assert placing.can_prefill_in_time(load("e1", draft("r1")), long)
 
     def test_a_run_that_moves_reads_nothing_and_may_join_any_queue(self):
         moved = replace(DEMAND, n_reading_tokens=0)
@@ -654,14 +654,14 @@
         for _ in range(40):
             rates.note("slow", 3_000, 1.0)
         assert rates.rate("slow") == pytest.approx(3_000, rel=0.05)
-        assert rates.rate("other") == USUAL_RATE
+        assert rates.rate("other") == DEFAULT_PREFILL_RATE
 
     def test_one_stuck_engine_does_not_close_all(self):
         rates = ReadRates()
         rates.note("models", 3_000, 60.0)
-        assert rates.rate("models") > 0.85 * USUAL_RATE
+        assert rates.rate("models") > 0.85 * DEFAULT_PREFILL_RATE
 
     def test_short_prompts_say_nothing(self):
         rates = ReadRates()
         rates.note("models", 10, 0.5)
-        assert rates.rate("models") == USUAL_RATE
+        assert rates.rate("models") == DEFAULT_PREFILL_RATE
