--- a/celerytrail/policies/__init__.py
+++ b/celerytrail/policies/__init__.py
@@ -1,1 +1,1 @@
-"""Decisions: pure, without input or output; a clock and chance are handed in."""
+"""Decision policies without input or output; clock and random generator are passed."""
--- a/celerytrail/policies/endpointchoice.py
+++ b/celerytrail/policies/endpointchoice.py
@@ -1,7 +1,7 @@
-"""Which endpoint of a plain service takes a request.
+"""Choice of the endpoint of a plain service that gets a request.
 
-The load that this answers: endpoints of one service differ in speed, some fail part
-of their requests while their health answers are good, and many nodes choose at once.
+Endpoints of one service differ in speed, some fail part of their requests while they
+pass their health checks, and many nodes choose at the same time.
 """
 
 from __future__ import annotations
@@ -13,22 +13,23 @@
 from ..model import Registration
 from ..types import Address
 
-# How much one outcome counts in an endpoint's failure rate: about the last ten count.
+# Weight of one outcome in an endpoint's failure rate, a moving average that covers
+# about the last ten.
 OUTCOME_WEIGHT = 0.15
-# What a failure rate of one costs, in shares of an endpoint's slots.
+# Cost of a failure rate of 1. All costs are in shares of an endpoint's slots.
 FAILURE_COST = 3.0
-# What another failure domain costs, in the same unit; only breaks ties.
-FAR_COST = 0.05
-# What a new connection costs, in the same unit: less than one request in progress at an
-# endpoint of six slots. With many nodes each sends an endpoint little; spread over all
-# of them, its connections would close for want of use.
+# Cost of another failure domain; it only breaks ties.
+CROSS_DOMAIN_COST = 0.05
+# Cost of a new connection: less than one request in progress at an endpoint of six
+# slots. With many nodes, each sends few requests. If it spread them over all endpoints,
+# connections would time out as idle before they are used again.
 CONNECT_COST = 0.1
-# A failure is forgotten by half after so many seconds, so that an endpoint that was
-# left out gets a request now and then and can show that it works again.
+# Half-life of the failure rate, in seconds. Through the decay an endpoint that was
+# avoided gets a request now and then and can recover.
 HALF_LIFE_SECONDS = 3.0
 MAX_RECORDS = 5_000
-# One node tells the others of an endpoint that breaks requests at most this often, in
-# seconds: three of ten nodes telling at once already make it the last choice.
+# Minimum time between two announcements of one broken endpoint by a node, in seconds.
+# Announcements by three of ten nodes already make the endpoint the last choice.
 TELL_SECONDS = 0.2
 
 
@@ -36,23 +37,23 @@
 class _Record:
     n_open: int = 0
     failure_rate: float = 0.0
-    noted_at: float = 0.0
-    tell_at: float = 0.0
+    updated_at: float = 0.0
+    next_announcement_at: float = 0.0
 
 
 class EndpointChoice:
-    """Chooses by work in progress and by how the last requests ended.
+    """Chooses endpoints by requests in progress and recent failures.
 
     Parameters
     ----------
     failure_domain : str
-        Where this node runs.
+        The failure domain of this node.
     rng : random.Random
-        Breaks ties, so that nodes that decide alike don't choose alike.
+        Breaks ties, so that nodes with the same view don't all choose the same.
     tell : callable
-        Called with an endpoint that broke a request off, for the other nodes.
+        Called with an endpoint that broke off a request, to announce it to other nodes.
     is_connected : callable
-        Returns whether an idle connection to an address stands.
+        Returns whether an idle connection to an address is open.
     """
 
     def __init__(
@@ -79,37 +80,37 @@
         return min(choices, key=lambda reg: self._cost(reg, now))
 
     def begin(self, endpoint: str) -> None:
-        """Note that a request goes to an endpoint."""
+        """Count a request that is sent to an endpoint as in progress."""
         self._record(endpoint).n_open += 1
 
     def end(
         self, endpoint: str, *, is_failed: bool, is_broken: bool, now: float
     ) -> None:
-        """Note how a request ended at an endpoint.
-
-        One that was broken off is told to the other nodes. An endpoint may reset all
-        requests while its row says that it is well; each of a dozen nodes would find
-        out by a request of its own that may have run and can't be sent again, and as
-        many callers would not know whether theirs was filed. An endpoint's own failing
-        answers are not told: all have some, and the busiest would look the worst.
-        With it 4 requests in place of 11 were cut in one played incident of twelve
-        nodes.
+        """Record how a request ended at an endpoint.
+
+        A broken-off request is announced to the other nodes. An endpoint may reset all
+        requests while its row reports it healthy. Without the announcement each of a
+        dozen nodes would find out by a request of its own, which may have run and can't
+        be sent again; its caller would not know whether it was executed. Error
+        answers are not announced: all endpoints send some, and the busiest would look
+        the worst. In one simulated incident with twelve nodes the
+        announcements reduced the requests cut off from 11 to 4.
         """
         record = self._record(endpoint)
         record.n_open -= 1
         self._observe(record, 1.0 if is_failed else 0.0, now)
-        if is_broken and now >= record.tell_at:
-            record.tell_at = now + TELL_SECONDS
+        if is_broken and now >= record.next_announcement_at:
+            record.next_announcement_at = now + TELL_SECONDS
             self._tell(endpoint)
 
     def hear_broken(self, endpoint: str, now: float) -> None:
-        """Note that another node's request was broken off by an endpoint."""
+        """Record that an endpoint broke off a request of another node."""
         self._observe(self._record(endpoint), 1.0, now)
 
     def _observe(self, record: _Record, outcome: float, now: float) -> None:
         rate = self._rate(record, now)
         record.failure_rate = rate + OUTCOME_WEIGHT * (outcome - rate)
-        record.noted_at = now
+        record.updated_at = now
 
     def _cost(self, reg: Registration, now: float) -> float:
         record = self._record(reg.endpoint)
@@ -117,19 +118,19 @@
         return (
             record.n_open / max(1, reg.n_slots)
             + FAILURE_COST * self._rate(record, now)
-            + (FAR_COST if is_far else 0.0)
+            + (CROSS_DOMAIN_COST if is_far else 0.0)
             + (0.0 if self._is_connected(reg.address) else CONNECT_COST)
             + 0.04 * self._rng.random()
         )
 
     @staticmethod
     def _rate(record: _Record, now: float) -> float:
-        age = max(0.0, now - record.noted_at)
+        age = max(0.0, now - record.updated_at)
         return float(record.failure_rate * 0.5 ** (age / HALF_LIFE_SECONDS))
 
     def _record(self, endpoint: str) -> _Record:
         if len(self._records) >= MAX_RECORDS:
-            # Endpoints are replaced under new ids; only those in use are kept.
+            # Replaced endpoints get new ids, so records that aren't in use are dropped.
             self._records = {
                 name: record for name, record in self._records.items() if record.n_open
             }
--- a/celerytrail/policies/freshness.py
+++ b/celerytrail/policies/freshness.py
@@ -1,38 +1,39 @@
-"""How old a node's knowledge of routes and keys is, and when that is too old."""
+"""Staleness bounds of a node's routes and keys."""
 
 from __future__ import annotations
 
 from collections.abc import Callable
 
-# Share of the bound on revocation within which a request is still passed on. The bound
-# counts from when its caller sent it, which is before this node looks, so neither the
-# way to the endpoint nor a pause in between needs a margin; what is left is for clocks
-# that differ. A shorter share refuses callers in every outage of a few seconds.
+# Share of the revocation bound within which a request is still forwarded. The bound
+# counts from when the caller sent the request, which is before this node checks it, so
+# neither the latency to the endpoint nor a pause in between needs a margin. The rest
+# covers differences between clocks. A smaller share would refuse callers in every outage of a few
+# seconds.
 USABLE_SHARE = 0.9
-# Share of the bound on configuration within which a route or key that is not known may
-# be denied. The rest is for clocks that differ.
+# Share of the configuration bound within which an unknown route or key may be denied.
+# The rest covers differences between clocks.
 DENIABLE_SHARE = 0.9
 
 
 class Freshness:
-    """Tells whether what is known of routes and keys may still be acted on.
+    """Decides whether a node's routes and keys are fresh enough to act on.
 
-    A key that was taken away must let nothing through after a bound, also at a node
-    that can't hear of it. What is not known may have been added since; denying it is
-    final for its caller, so a node that can't tell must not. The age counts from when
-    the confirming read was *sent*, as the answer may have waited anywhere on its way
-    back.
+    A revoked key must be refused once the revocation bound has passed, also at a node
+    that can't receive updates. An unknown route or key may have been added since the
+    last read. A denial is final for the caller, so a node with stale data must not
+    deny. The age counts from when the confirming read was *sent*, as its answer may
+    have been delayed anywhere.
 
     Parameters
     ----------
     bound_seconds : float
-        After so long a key that was taken away lets nothing through.
+        Revocation bound: a revoked key is refused after this time.
     config_seconds : float
-        After so long a route or key that was added is in force.
+        Configuration bound: an added route or key is in force after this time.
     is_strict : bool
-        Whether that holds also for a node that is out of touch.
+        Whether the revocation bound also applies to a node that is cut off.
     clock : callable
-        A steady clock that goes on during suspension.
+        A monotonic clock that continues during suspension.
     """
 
     def __init__(
@@ -53,15 +54,15 @@
     def set_bounds(
         self, *, bound_seconds: float, config_seconds: float, is_strict: bool
     ) -> None:
-        """Take in settings that changed."""
+        """Apply changed settings."""
         self._usable_seconds = USABLE_SHARE * bound_seconds
         self._deniable_seconds = DENIABLE_SHARE * config_seconds
         self._is_strict = is_strict
 
     def confirm(self, sent_at: float, *, source: str = "") -> None:
-        """Note that a read sent at ``sent_at`` showed all that was in force then.
+        """Record that a read sent at ``sent_at`` returned all that was in force then.
 
-        ``source`` is the node that told it, empty for the store.
+        ``source`` is the node that answered it, empty for the store.
         """
         if self._confirmed_at is None or sent_at > self._confirmed_at:
             self._confirmed_at = sent_at
@@ -69,24 +70,24 @@
 
     @property
     def source(self) -> str:
-        """Return the node that told what is known, empty for the store."""
+        """Return the node that answered the latest read, empty for the store."""
         return self._source
 
     @property
     def usable_seconds(self) -> float:
-        """Return how old knowledge may be that is still acted on."""
+        """Return the age up to which the data may be used, in seconds."""
         return self._usable_seconds
 
     @property
     def age_seconds(self) -> float | None:
-        """Return how old the knowledge is, None before the first."""
+        """Return the age of the data in seconds, None before the first read."""
         if self._confirmed_at is None:
             return None
         return self._clock() - self._confirmed_at
 
     @property
     def is_usable(self) -> bool:
-        """Return whether a request with a key may be passed on now."""
+        """Return whether a request with a known key may be forwarded now."""
         age = self.age_seconds
         if age is None:
             return False
@@ -94,6 +95,6 @@
 
     @property
     def may_deny(self) -> bool:
-        """Return whether what is not known now is not in force for sure."""
+        """Return whether an unknown route or key may be denied now."""
         age = self.age_seconds
         return age is not None and age < self._deniable_seconds
--- a/celerytrail/policies/retries.py
+++ b/celerytrail/policies/retries.py
@@ -1,7 +1,7 @@
-"""Retries: whether what was not run is tried again, and when.
+"""Policies for retries of requests that were not run.
 
-Only what was certainly not run comes here. A retry must earn its place: a budget ties
-retries to first attempts, so that an overload isn't fed by its own refusals.
+Only requests that certainly did not run are retried. A retry budget ties the number of
+retries to that of first attempts, so refusals don't amplify an overload.
 """
 
 from __future__ import annotations
@@ -13,52 +13,52 @@
 
 from ..types import NotRun
 
-# Retries allowed for each first attempt, and the most that may be saved up.
+# Retries earned by each first attempt, and the most that a budget can hold.
 RETRY_RATIO = 0.1
 BUDGET_MAX = 10.0
-# A few retries are free at first, so that a quiet organisation's odd one gets through.
+# Initial budget, so that an organisation with few requests can retry too.
 BUDGET_START = 3.0
-N_BUDGETS = 8192
-BACKOFF_BASE = 0.1
-BACKOFF_MAX = 10.0
-N_ATTEMPTS_MAX = 5
+MAX_BUDGETS = 8192
+BACKOFF_BASE_SECONDS = 0.1
+BACKOFF_MAX_SECONDS = 10.0
+MAX_ATTEMPTS = 5
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class RetryAt:
-    """Try again, not before ``at`` (monotonic seconds)."""
+    """Decision to retry, not before ``at`` (monotonic seconds)."""
 
     at: float
 
 
 class RetryPolicy(abc.ABC):
-    """Decides about what was not run."""
+    """Decides whether and when a request that was not run is retried."""
 
     @abc.abstractmethod
     def first_attempt(self, key: str) -> None:
-        """Note a request's first attempt; ``key`` names whose budget it feeds."""
+        """Record a request's first attempt; ``key`` names the budget that it feeds."""
 
     @abc.abstractmethod
     def decide(
         self, key: str, *, n_attempts: int, not_run: NotRun, deadline: float, now: float
     ) -> RetryAt | NotRun:
-        """Return when to try again, or the final answer, which is to be sent at once.
+        """Return the time of the next attempt, or the refusal if there is none.
 
         Parameters
         ----------
         key : str
-            Whose budget pays.
+            Name of the budget that is charged.
         n_attempts : int
-            Attempts made so far, the first included.
+            Attempts made so far, including the first.
         not_run : NotRun
-            What came of the last one.
+            The refusal of the last attempt.
         deadline, now : float
-            Monotonic seconds; a retry that would start after the deadline is no use.
+            Monotonic seconds; no retry starts after the deadline.
         """
 
 
 class NeverRetry(RetryPolicy):
-    """Passes each refusal on; a baseline."""
+    """Returns each refusal without a retry; a baseline."""
 
     def first_attempt(self, key: str) -> None:
         """Do nothing."""
@@ -71,7 +71,7 @@
 
 
 class BudgetedRetry(RetryPolicy):
-    """Exponential backoff with full jitter, paid for from a budget per key.
+    """Retries with exponential backoff and full jitter, limited by a budget per key.
 
     Parameters
     ----------
@@ -87,30 +87,32 @@
         self._budgets: OrderedDict[str, float] = OrderedDict()
 
     def first_attempt(self, key: str) -> None:
-        """Earn a share of a retry."""
+        """Add a share of a retry to the budget."""
         budget = self._budgets.get(key, BUDGET_START)
         self._budgets[key] = min(BUDGET_MAX, budget + self._ratio)
         self._budgets.move_to_end(key)
-        if len(self._budgets) > N_BUDGETS:
+        if len(self._budgets) > MAX_BUDGETS:
             self._budgets.popitem(last=False)
 
     def decide(
         self, key: str, *, n_attempts: int, not_run: NotRun, deadline: float, now: float
     ) -> RetryAt | NotRun:
-        """Try again where attempts, budget and deadline allow it."""
+        """Return a retry if attempts, budget and deadline allow it."""
         budget = self._budgets.get(key, BUDGET_START)
-        if n_attempts >= N_ATTEMPTS_MAX or budget < 1.0:
+        if n_attempts >= MAX_ATTEMPTS or budget < 1.0:
             return not_run
         delay = self._delay(n_attempts, not_run.retry_after)
         if now + delay >= deadline:
-            # Waiting here until near the deadline would only hide the refusal from
-            # the caller, who could go elsewhere now or come back when told.
+            # A wait until near the deadline would only delay the refusal. With it, the
+            # caller can go elsewhere now, or come back after ``retry_after``.
             return not_run
         self._budgets[key] = budget - 1.0
         return RetryAt(at=now + delay)
 
     def _delay(self, n_attempts: int, retry_after: float | None) -> float:
-        ceiling = min(BACKOFF_MAX, BACKOFF_BASE * 2.0 ** (n_attempts - 1))
+        ceiling = min(
+            BACKOFF_MAX_SECONDS, BACKOFF_BASE_SECONDS * 2.0 ** (n_attempts - 1)
+        )
         delay = self._rng.random() * ceiling
         if retry_after is not None:
             delay += retry_after
--- a/celerytrail/policies/retrybudget.py
+++ b/celerytrail/policies/retrybudget.py
@@ -5,31 +5,33 @@
 from collections import deque
 from collections.abc import Callable
 
-# Share of the whole budget that is used: windows slide, and nodes don't see one
-# another's retries at the moment they make them.
+# Share of the whole budget that is used. The rest is a margin, as windows slide and
+# nodes learn of one another's retries with a delay.
 USED_SHARE = 0.6
 
 
 class RetryBudget:
     """Allows retries up to a share of the requests, and a part of a fixed allowance.
 
-    When a service fails, each request that is tried again adds load just where there
-    is too much of it. All nodes together may add a bounded share. Each counts its own
-    requests for the share, and tells the others of each retry, so that the fixed
-    allowance goes to whoever needs it; a node that hears of few others takes less.
+    When a service fails, retries add load where there is already too much, so all nodes
+    together may add a bounded share only. For the share, each node counts its own
+    requests. It announces each retry to the others, so the fixed allowance goes to the
+    nodes that need it. A node that receives the announcements of only part of the nodes
+    uses that part of the allowance.
 
     Parameters
     ----------
     ratio : float
-        Retries allowed for each request of the window.
+        Retries allowed per request in the window.
     allowance : float
-        Retries allowed besides in a window, over all nodes.
+        Further retries allowed in a window, by all nodes together.
     window_seconds : float
         Length of the sliding window.
     heard_share : callable
-        Returns the share of all nodes whose retries this one hears of, itself included.
+        Returns the share of all nodes whose announcements this one receives, with
+        itself.
     tell : callable
-        Called with a service at which this node made a retry.
+        Called with a service at which this node makes a retry.
     """
 
     def __init__(
@@ -59,13 +61,13 @@
         self._recent(self._all_retries, service, now).append(now)
 
     def take(self, service: str, now: float) -> bool:
-        """Return whether one more arrival at the service is allowed, and count it."""
+        """Return whether a retry at the service is allowed, and count it if so."""
         n_requests = len(self._recent(self._requests, service, now))
         retries = self._recent(self._retries, service, now)
         all_retries = self._recent(self._all_retries, service, now)
-        by_share = USED_SHARE * self._ratio * n_requests
-        by_allowance = USED_SHARE * self._allowance * self._heard_share()
-        if len(retries) + 1 > by_share and len(all_retries) + 1 > by_allowance:
+        ratio_limit = USED_SHARE * self._ratio * n_requests
+        allowance_limit = USED_SHARE * self._allowance * self._heard_share()
+        if len(retries) + 1 > ratio_limit and len(all_retries) + 1 > allowance_limit:
             return False
         retries.append(now)
         all_retries.append(now)
@@ -75,7 +77,7 @@
     def _recent(
         self, times: dict[str, deque[float]], service: str, now: float
     ) -> deque[float]:
-        found = times.setdefault(service, deque())
-        while found and found[0] <= now - self._window_seconds:
-            found.popleft()
-        return found
+        recent = times.setdefault(service, deque())
+        while recent and recent[0] <= now - self._window_seconds:
+            recent.popleft()
+        return recent
--- a/celerytrail/policies/routing.py
+++ b/celerytrail/policies/routing.py
@@ -1,7 +1,7 @@
-"""Routing: which of several engines gets a generation.
+"""Routing policies, which choose the engine of a generation.
 
-The first two policies are baselines to measure against. The third is what an entry
-node uses when it can reach no home and must choose by itself.
+The first two policies are baselines for comparison. An entry node uses the third when
+it can't reach a home and has to choose an engine itself.
 """
 
 from __future__ import annotations
@@ -16,17 +16,17 @@
 
 
 class RoutingPolicy(abc.ABC):
-    """Chooses an engine; sends always, never holds back."""
+    """Chooses an engine at once, without admission control or queueing."""
 
     @abc.abstractmethod
     def choose(
         self, views: Sequence[EngineView], req: AdmitRequest, now: float
     ) -> EngineView | None:
-        """Return the engine to send to; None where there is no engine at all."""
+        """Return the chosen engine, or None if there are no engines."""
 
 
 class RoundRobin(RoutingPolicy):
-    """Each engine in turn, whatever its load."""
+    """Chooses each engine in turn, regardless of load."""
 
     def __init__(self) -> None:
         self._n_chosen = 0
@@ -42,7 +42,11 @@
 
 
 class LeastReported(RoutingPolicy):
-    """The engine that reported the least memory in use, nothing else counted."""
+    """Chooses the engine with the least reported load.
+
+    The load is the share of memory in use plus the number of waiting requests. Requests
+    sent since the report don't count.
+    """
 
     def __init__(self, *, rng: random.Random) -> None:
         self._rng = rng
@@ -50,25 +54,25 @@
     def choose(
         self, views: Sequence[EngineView], req: AdmitRequest, now: float
     ) -> EngineView | None:
-        """Return the engine of the least reported load, ties broken by chance."""
+        """Return the engine with the least reported load; ties are broken at random."""
         if not views:
             return None
-        return min(views, key=lambda view: (_reported(view), self._rng.random()))
+        return min(views, key=lambda view: (_reported_load(view), self._rng.random()))
 
 
 class PowerOfTwo(RoutingPolicy):
-    """The better of two engines drawn by chance.
+    """Chooses the less loaded of two random engines.
 
-    What was sent from here since the report counts, and so does the growth that is
-    expected of all that runs there. The draw keeps the many nodes that hold the same
-    late report from all choosing the same engine.
+    The load includes requests sent from this node since the report, and the expected
+    growth of all runs on the engine. The random draw keeps nodes with the same outdated
+    report from all choosing the same engine.
 
     Parameters
     ----------
     rng : random.Random
-        Draws the two.
+        Draws the two engines.
     lengths : LengthModel
-        Forecasts the growth.
+        Forecasts the growth of the runs.
     """
 
     def __init__(self, *, rng: random.Random, lengths: LengthModel) -> None:
@@ -78,15 +82,17 @@
     def choose(
         self, views: Sequence[EngineView], req: AdmitRequest, now: float
     ) -> EngineView | None:
-        """Return the one of two with the lower expected load."""
+        """Return the drawn engine with the lower expected load."""
         if len(views) < 2:
             return views[0] if views else None
         first, second = self._rng.sample(views, 2)
-        if self._load(second, req.model) < self._load(first, req.model):
+        if self._expected_load(second, req.model) < self._expected_load(
+            first, req.model
+        ):
             return second
         return first
 
-    def _load(self, view: EngineView, model: str) -> float:
+    def _expected_load(self, view: EngineView, model: str) -> float:
         n_tokens = float(view.n_used_tokens)
         for run in (*view.running.values(), *view.foreign.values()):
             n_tokens += self._lengths.expected_residual(
@@ -97,7 +103,7 @@
         return n_tokens / max(1, view.n_memory_tokens)
 
 
-def _reported(view: EngineView) -> float:
+def _reported_load(view: EngineView) -> float:
     report = view.report
     if report is None:
         return 0.0
--- a/tests/test_relay_freshness.py
+++ b/tests/test_relay_freshness.py
@@ -97,21 +97,21 @@
         bound = RenewalBound(seconds=seconds)
         for age in (0.0, 0.1, 0.3, 0.45):
             asked_at = age * seconds
-            wait = bound.wait_seconds(asked_at, longest=seconds)
-            given_up_at = asked_at + wait + bound.answer_seconds(longest=seconds)
+            wait = bound.wait_seconds(asked_at, max_seconds=seconds)
+            given_up_at = asked_at + wait + bound.answer_seconds(max_seconds=seconds)
             assert bound.is_overdue(given_up_at)
             assert seconds - given_up_at >= 0.2 * seconds
 
     def test_word_that_is_of_use_leaves_time_to_wait(self):
         # Without it nodes would ask one another without a pause.
         bound = RenewalBound(seconds=2.0)
-        assert bound.wait_seconds(bound.useful_seconds, longest=0.7) >= 0.1
+        assert bound.wait_seconds(bound.useful_seconds, max_seconds=0.7) >= 0.1
 
     def test_no_wait_is_longer_than_it_was_asked_for(self):
-        assert RenewalBound(seconds=60.0).wait_seconds(None, longest=0.7) == 0.7
+        assert RenewalBound(seconds=60.0).wait_seconds(None, max_seconds=0.7) == 0.7
 
     def test_overdue_knowledge_is_not_waited_for(self):
-        assert RenewalBound(seconds=2.0).wait_seconds(5.0, longest=0.7) == 0.0
+        assert RenewalBound(seconds=2.0).wait_seconds(5.0, max_seconds=0.7) == 0.0
 
     def test_a_node_that_knows_nothing_yet_may_ask_any_source(self):
         assert not RenewalBound(seconds=2.0).is_overdue(None)
