--- a/celerytrail/policies/endpointchoice.py
+++ b/celerytrail/policies/endpointchoice.py
@@ -91,10 +91,10 @@
         A broken-off request is announced to the other nodes. An endpoint may reset all
         requests while its row reports it healthy. Without the announcement each of a
         dozen nodes would find out by a request of its own, which may have run and can't
-        be sent again; its caller would not know whether it was executed. Error
-        answers are not announced: all endpoints send some, and the busiest would look
-        the worst. In one simulated incident with twelve nodes the
-        announcements reduced the requests cut off from 11 to 4.
+        be sent again; its caller would not know whether it was executed. Error answers
+        are not announced: all endpoints send some, and the busiest would look the
+        worst. In one simulated incident with twelve nodes the announcements reduced the
+        requests cut off from 11 to 4.
         """
         record = self._record(endpoint)
         record.n_open -= 1
--- a/celerytrail/policies/freshness.py
+++ b/celerytrail/policies/freshness.py
@@ -7,8 +7,8 @@
 # Share of the revocation bound within which a request is still forwarded. The bound
 # counts from when the caller sent the request, which is before this node checks it, so
 # neither the latency to the endpoint nor a pause in between needs a margin. The rest
-# covers differences between clocks. A smaller share would refuse callers in every outage of a few
-# seconds.
+# covers differences between clocks. A smaller share would refuse callers in every
+# outage of a few seconds.
 USABLE_SHARE = 0.9
 # Share of the configuration bound within which an unknown route or key may be denied.
 # The rest covers differences between clocks.
--- a/celerytrail/policies/moving.py
+++ b/celerytrail/policies/moving.py
@@ -21,12 +21,12 @@
 # learns that the engine leaves within 0.1 s of this one and announces the move at once.
 START_TIMEOUT_SECONDS = 0.2
 # Multiple of its estimated duration after which a copy no longer holds up the next.
-COPY_TIMEOUT_FACTOR = 1.5
+LATE_FACTOR = 1.5
 # Loss if a run is not moved, in prompt tokens: a fixed part for each run, and a weight
 # for each token of output, whose decode takes as long as the prefill of ten or more
 # prompt tokens.
-RUN_LOSS_TOKENS = 5_000
-OUTPUT_TOKEN_WEIGHT = 10
+BASE_TOKENS = 5_000
+OUTPUT_WEIGHT = 10
 # Time that an engine's link can be used for moves after a notice, in seconds. The
 # engine stops 1.5 s to 2.1 s after it, and the first tenths pass until all nodes know.
 MAX_MOVE_SECONDS = 1.0
@@ -109,9 +109,7 @@
     def _timeout_seconds(self, head: Run) -> float:
         if not head.is_moving:
             return START_TIMEOUT_SECONDS
-        return START_TIMEOUT_SECONDS + COPY_TIMEOUT_FACTOR * copy_seconds(
-            head, self._engine
-        )
+        return START_TIMEOUT_SECONDS + LATE_FACTOR * copy_seconds(head, self._engine)
 
 
 def needs_backup(run: Run, runs: Iterable[Run], engine: EngineFacts) -> bool:
@@ -123,10 +121,6 @@
 def _rank(run: Run) -> tuple[bool, float, str]:
     # A run that has exceeded its hint may continue for long.
     is_ending = 0 <= run.n_expected_tokens - run.n_made_tokens < N_ENDING_TOKENS
-    n_lost = (
-        RUN_LOSS_TOKENS
-        + run.n_prompt_tokens
-        + OUTPUT_TOKEN_WEIGHT * run.n_expected_tokens
-    )
+    n_lost = BASE_TOKENS + run.n_prompt_tokens + OUTPUT_WEIGHT * run.n_expected_tokens
     n_copied = run.n_prompt_tokens + run.n_expected_tokens
     return is_ending, -n_lost / n_copied, run.run_id
--- a/celerytrail/policies/renewal.py
+++ b/celerytrail/policies/renewal.py
@@ -10,7 +10,7 @@
 
 from dataclasses import dataclass
 
-# Shares of the bound. What the last two leave is for the store's answer.
+# Shares of the bound. What WAIT_SHARE and ANSWER_SHARE leave is for the store's answer.
 OVERDUE_SHARE = 0.5
 WAIT_SHARE = 0.6
 ANSWER_SHARE = 0.15
--- a/celerytrail/policies/routing.py
+++ b/celerytrail/policies/routing.py
@@ -86,13 +86,11 @@
         if len(views) < 2:
             return views[0] if views else None
         first, second = self._rng.sample(views, 2)
-        if self._expected_load(second, req.model) < self._expected_load(
-            first, req.model
-        ):
+        if self._load(second, req.model) < self._load(first, req.model):
             return second
         return first
 
-    def _expected_load(self, view: EngineView, model: str) -> float:
+    def _load(self, view: EngineView, model: str) -> float:
         n_tokens = float(view.n_used_tokens)
         for run in (*view.running.values(), *view.foreign.values()):
             n_tokens += self._lengths.expected_residual(
--- a/tests/test_relay_freshness.py
+++ b/tests/test_relay_freshness.py
@@ -1,4 +1,4 @@
-"""How old a node's knowledge may be: for acting, for denying, before it is renewed."""
+"""Tests of the staleness bounds for use, denial and renewal of a node's data."""
 
 from __future__ import annotations
 
@@ -17,16 +17,16 @@
             "is_strict": True,
             **more,
         }
-        made = Freshness(clock=lambda: now[0], **fields)  # type: ignore[arg-type]
-        return made, now
+        freshness = Freshness(clock=lambda: now[0], **fields)  # type: ignore[arg-type]
+        return freshness, now
 
     def test_nothing_is_usable_before_the_first_read(self):
         freshness, _ = self.make()
         assert not freshness.is_usable
 
-    def test_a_node_that_hears_nothing_stops_before_the_bound(self):
-        # A node is cut off from the store and from all others. A key is taken away;
-        # the node would let its holder through until the cut heals.
+    def test_a_partitioned_node_refuses_before_the_bound(self):
+        # A node is partitioned from the store and all other nodes. Without the bound it
+        # would accept a revoked key until the partition ends.
         freshness, now = self.make()
         freshness.confirm(100.0)
         now[0] = 102.0
@@ -34,36 +34,36 @@
         now[0] = 104.51
         assert not freshness.is_usable
 
-    def test_a_short_outage_refuses_nobody(self):
-        # The store is away for four seconds, as while it is restarted. Refusing all
-        # callers long before the bound protects nobody: a key that was taken away may
-        # be used until then.
+    def test_a_short_outage_causes_no_refusals(self):
+        # The store is unavailable for four seconds, as during a restart. To refuse all
+        # callers long before the bound has no benefit, as a revoked key may be used
+        # until then.
         freshness, now = self.make()
         freshness.confirm(100.0)
         now[0] = 104.4
         assert freshness.is_usable
 
-    def test_an_answer_that_comes_late_counts_from_its_question(self):
+    def test_the_age_counts_from_when_the_read_was_sent(self):
         freshness, now = self.make()
         now[0] = 104.51
         freshness.confirm(100.0)
         assert not freshness.is_usable
 
-    def test_an_older_confirmation_takes_nothing_back(self):
+    def test_an_older_confirmation_is_ignored(self):
         freshness, now = self.make()
         freshness.confirm(100.0)
         freshness.confirm(95.0)
         now[0] = 102.0
         assert freshness.is_usable
 
-    def test_a_bound_that_changed_holds_at_once(self):
+    def test_a_changed_bound_applies_at_once(self):
         freshness, now = self.make()
         freshness.confirm(100.0)
         now[0] = 102.0
         freshness.set_bounds(bound_seconds=1.0, config_seconds=2.0, is_strict=True)
         assert not freshness.is_usable
 
-    def test_where_revocation_is_not_strict_old_knowledge_serves(self):
+    def test_old_data_is_usable_if_revocation_is_not_strict(self):
         freshness, now = self.make(is_strict=False)
         freshness.confirm(100.0)
         now[0] = 1_000.0
@@ -71,8 +71,8 @@
 
 
 class TestDenial:
-    def test_what_may_have_been_added_since_is_not_denied(self):
-        # A caller that is told that its route doesn't exist gives up for good.
+    def test_stale_data_does_not_lead_to_a_denial(self):
+        # A caller doesn't retry after an answer that its route doesn't exist.
         now = [100.0]
         freshness = Freshness(
             bound_seconds=5.0,
@@ -92,26 +92,26 @@
 
 class TestRenewalBound:
     @pytest.mark.parametrize("seconds", [1.0, 2.0, 3.0, 7.0])
-    def test_a_source_that_never_answers_leaves_time_for_the_store(self, seconds):
-        # Steps that are each bounded by a time of their own add up to any sum.
+    def test_a_silent_source_leaves_time_for_the_store(self, seconds):
+        # If each step had a timeout of its own, their sum could exceed the bound.
         bound = RenewalBound(seconds=seconds)
         for age in (0.0, 0.1, 0.3, 0.45):
             asked_at = age * seconds
             wait = bound.wait_seconds(asked_at, max_seconds=seconds)
-            given_up_at = asked_at + wait + bound.answer_seconds(max_seconds=seconds)
-            assert bound.is_overdue(given_up_at)
-            assert seconds - given_up_at >= 0.2 * seconds
+            timeout_at = asked_at + wait + bound.answer_seconds(max_seconds=seconds)
+            assert bound.is_overdue(timeout_at)
+            assert seconds - timeout_at >= 0.2 * seconds
 
-    def test_word_that_is_of_use_leaves_time_to_wait(self):
-        # Without it nodes would ask one another without a pause.
+    def test_useful_data_leaves_time_to_wait(self):
+        # Otherwise nodes would poll one another without a pause.
         bound = RenewalBound(seconds=2.0)
         assert bound.wait_seconds(bound.useful_seconds, max_seconds=0.7) >= 0.1
 
-    def test_no_wait_is_longer_than_it_was_asked_for(self):
+    def test_a_wait_does_not_exceed_its_limit(self):
         assert RenewalBound(seconds=60.0).wait_seconds(None, max_seconds=0.7) == 0.7
 
-    def test_overdue_knowledge_is_not_waited_for(self):
+    def test_there_is_no_wait_if_data_is_overdue(self):
         assert RenewalBound(seconds=2.0).wait_seconds(5.0, max_seconds=0.7) == 0.0
 
-    def test_a_node_that_knows_nothing_yet_may_ask_any_source(self):
+    def test_a_node_without_data_may_ask_any_source(self):
         assert not RenewalBound(seconds=2.0).is_overdue(None)
--- a/tests/test_retries.py
+++ b/tests/test_retries.py
@@ -16,18 +16,18 @@
             "o", n_attempts=n_attempts, not_run=not_run, deadline=deadline, now=10.0
         )
 
-    def test_waits_at_least_as_told(self):
-        answer = self.decide(BudgetedRetry(rng=random.Random(1)))
-        assert isinstance(answer, RetryAt)
-        assert answer.at >= 12.0
-
-    def test_gives_up_at_once_when_too_late(self):
-        answer = self.decide(BudgetedRetry(rng=random.Random(1)), deadline=11.0)
-        assert answer is REFUSAL
-
-    def test_overload_is_not_multiplied(self):
-        """All engines refuse for a while. If each refusal were tried again and again,
-        the callers' load would arrive several times over and nobody would get in.
+    def test_waits_at_least_until_retry_after(self):
+        decision = self.decide(BudgetedRetry(rng=random.Random(1)))
+        assert isinstance(decision, RetryAt)
+        assert decision.at >= 12.0
+
+    def test_refuses_at_once_if_the_retry_would_miss_the_deadline(self):
+        decision = self.decide(BudgetedRetry(rng=random.Random(1)), deadline=11.0)
+        assert decision is REFUSAL
+
+    def test_retries_do_not_multiply_an_overload(self):
+        """All engines refuse for a while. Without a budget, retries would multiply the
+        load and no request would succeed.
         """
         policy = BudgetedRetry(rng=random.Random(1))
         n_retries = 0
--- a/tests/test_routing.py
+++ b/tests/test_routing.py
@@ -42,9 +42,9 @@
     def test_round_robin_takes_turns(self):
         assert route(RoundRobin()) == {"e0": 20, "e1": 20, "e2": 20}
 
-    def test_power_of_two_counts_own_work_since(self):
-        """No report has come for a while and an entry node sends a burst. By reports
-        alone it would all go wherever the last one showed room.
+    def test_power_of_two_counts_requests_sent_since_the_report(self):
+        """An entry node sends a burst while no reports arrive. By reports alone, all of
+        it would go to the engine with the lowest load in the last report.
         """
         sent = route(PowerOfTwo(rng=random.Random(1), lengths=LearnedLengths()))
         assert min(sent.values()) >= 15
@@ -60,7 +60,7 @@
 
 
 class TestBoundedAffinity:
-    def test_bonus_grows_with_the_warm_part_and_is_bounded(self):
+    def test_bonus_grows_with_the_cached_part_and_is_bounded(self):
         affinity = BoundedAffinity()
         affinity.stored("e0", ("a", "b"))
         assert affinity.bonus("e0", ("a", "b", "c", "d")) == BONUS_MAX / 2
@@ -71,7 +71,7 @@
 
 
 class TestShedByWait:
-    def test_refuses_only_what_would_be_far_too_late(self):
+    def test_refuses_only_requests_that_would_wait_far_too_long(self):
         shedding = ShedByWait(rng=random.Random(1))
         for i in range(10 * N_COLD_GRANTS):
             shedding.granted(100.0, 0.2 * i)
@@ -81,5 +81,5 @@
         assert shedding.judge(backlog=rate * 5, **judge) is None
         refusal = shedding.judge(backlog=rate * 50, **judge)
         assert refusal.reason == "shed"
-        # The backlog takes 100 s at half the rate, of which 10 may be waited.
+        # At half the rate the backlog takes 100 s, and 10 s of waiting are acceptable.
         assert 85 <= refusal.retry_after <= 125
