--- a/celerytrail/policies/engineloads.py
+++ b/celerytrail/policies/engineloads.py
@@ -244,7 +244,7 @@
         self._reports[endpoint] = report
 
     def forget_report(self, endpoint: str) -> None:
-        """Discard the last report of an engine that is gone."""
+        """Discard the last report of an engine that was removed."""
         self._reports.pop(endpoint, None)
 
     def loads(self, empty: list[EngineLoad], now: float) -> list[EngineLoad]:
