--- a/celerytrail/nodes/admitters.py
+++ b/celerytrail/nodes/admitters.py
@@ -1,4 +1,4 @@
-"""The admitter that asks the pools' homes."""
+"""The admitter that requests grants from the pools' homes."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 from ..policies.grants import AdmitRequest, Admitter, GenerationEnd, Grant
 from ..types import NotRun
 from .alone import AloneChooser
-from .batches import Batches, Outcome
+from .batches import AdmitOutcome, ProgressBatcher
 from .homes import Homes, IsLeaving
 from .homewire import ADMIT_PATH, AdmitAnswer, AdmitBody
 from .member import Member
@@ -25,29 +25,29 @@
 from .signing import PeerKeys
 from .view import NodesView, Ranking
 
-# Homes tried one after another before this node chooses by itself.
-N_HOMES_TRIED = 3
-# How long after the queue deadline a home's refusal is still waited for, in seconds.
-MARGIN_SECONDS = 0.25
-# Asking anew because the granted engine became known to leave meanwhile.
-N_ASKINGS = 3
+# Homes tried in order of rank before this node chooses an engine by itself.
+MAX_HOMES_TRIED = 3
+# Time after the queue deadline for which a home's refusal is awaited.
+ANSWER_MARGIN_SECONDS = 0.25
+# Attempts at a grant; another one follows when the granted engine is known to leave.
+MAX_ATTEMPTS = 3
 NO_ENGINE_RETRY_SECONDS = 2.0
 LATE_RETRY_SECONDS = 1.0
 
 
 class HomeAdmitter(Admitter):
-    """Asks the home of a pool, the next in rank where that fails, else decides alone.
+    """Asks a pool's home, then the next in rank, and chooses by itself if none answers.
 
     Parameters
     ----------
     nodes : NodesView
         The live nodes.
     homes : Homes
-        This node's own homes, asked without HTTP, and the pools.
+        The pools and this node's own homes, which are called without HTTP.
     keys : PeerKeys
         Sign requests.
     client : HttpClient
-        Makes them.
+        Sends requests.
     clock : Clock
         Monotonic and wall time.
     rng : random.Random
@@ -55,9 +55,9 @@
     metrics : Metrics
         Observes the time to a decision.
     alone : AloneChooser
-        Decides where no home can be reached.
+        Chooses an engine where no home can be reached.
     is_leaving : callable
-        Whether an engine is known to leave, by its name.
+        Returns whether the engine of a name is known to be leaving.
     """
 
     def __init__(
@@ -80,68 +80,66 @@
         self._clock = clock
         self._rng = rng
         self._metrics = metrics
-        self._alone = alone
+        self._fallback = alone
         self._is_leaving = is_leaving
         self._ranking = Ranking(nodes=nodes)
-        self._batches = Batches(
+        self._batches = ProgressBatcher(
             nodes=nodes,
             ranking=self._ranking,
             homes=homes,
             keys=keys,
             client=client,
             clock=clock,
-            take_reports=alone.take_reports,
+            on_reports=alone.on_reports,
         )
-        self._waiting: set[asyncio.Event] = set()
-        nodes.on_change(self._wake)
+        self._change_events: set[asyncio.Event] = set()
+        nodes.on_change(self._on_nodes_change)
 
     async def start(self) -> None:
-        """Begin to send batches."""
+        """Start sending batches."""
         await self._batches.start()
 
     async def stop(self) -> None:
-        """Send a last batch and stop."""
+        """Stop sending batches, after one last batch."""
         await self._batches.stop()
 
     async def admit(self, req: AdmitRequest) -> Result[Grant, NotRun]:
         """Wait for a grant, until the request's queue deadline at the latest."""
         started_at = self._clock.monotonic()
-        answer = await self._ask_until_sound(req)
+        answer = await self._ask_until_usable(req)
         self._metrics.observe("admission", self._clock.monotonic() - started_at)
         if not isinstance(answer, Err):
-            self._alone.note(answer.ok_value, req)
+            self._fallback.record_grant(answer.ok_value, req)
         return answer
 
     def progress(self, grant: Grant, n_tokens: int) -> None:
-        """Note how many tokens a granted generation has produced; cheap."""
+        """Record how many tokens a granted generation has produced; cheap."""
         self._batches.progress(grant, n_tokens)
 
     def finish(self, grant: Grant, n_tokens: int, end: GenerationEnd) -> None:
-        """Note that a granted generation has ended, which frees its place."""
-        self._alone.finish(grant, n_tokens, end)
+        """Record that a granted generation has ended, which frees its place."""
+        self._fallback.finish(grant, n_tokens, end)
         self._batches.finish(grant, n_tokens, end)
 
-    # Inside.
-
-    async def _ask_until_sound(self, req: AdmitRequest) -> Result[Grant, NotRun]:
-        for _ in range(N_ASKINGS):
-            answer = await self._ask(req)
+    async def _ask_until_usable(self, req: AdmitRequest) -> Result[Grant, NotRun]:
+        for _ in range(MAX_ATTEMPTS):
+            answer = await self._ask_homes(req)
             if isinstance(answer, Err) or not self._is_leaving(answer.ok_value.engine):
                 return answer
-            # The home had not heard yet that the engine leaves; this node has. Taking
-            # the grant would send new work to an endpoint that is known to go.
+            # This node knows that the engine leaves and the home doesn't yet. Using the
+            # grant would send new work to an endpoint that is about to stop.
             grant = answer.ok_value
             self.finish(grant, 0, "not_run")
             req = replace(req, excluded=(*req.excluded, grant.engine))
-        return Err(_no_engine(req))
+        return Err(_refuse_no_engine(req))
 
-    async def _ask(self, req: AdmitRequest) -> Result[Grant, NotRun]:
-        pool = self._pool(req)
+    async def _ask_homes(self, req: AdmitRequest) -> Result[Grant, NotRun]:
+        pool = self._choose_pool(req)
         if pool is None:
-            return Err(_no_engine(req))
+            return Err(_refuse_no_engine(req))
         order = self._ranking.order(pool.key, pool.region)
         tried: set[str] = set()
-        while len(tried) < N_HOMES_TRIED:
+        while len(tried) < MAX_HOMES_TRIED:
             home = next((m for m in order if m.node not in tried), None)
             if home is None:
                 break
@@ -150,31 +148,31 @@
             if isinstance(answer, NotRun):
                 return Err(answer)
             if answer is not None:
-                self._batches.open(answer, pool.key, req)
+                self._batches.add_run(answer, pool.key, req)
                 return Ok(answer)
             if self._clock.monotonic() >= req.queue_deadline:
-                return Err(_late())
-            # Who lives may have changed while the answer was waited for.
+                return Err(_refuse_late())
+            # The live nodes may have changed during the wait for the answer.
             order = self._ranking.order(pool.key, pool.region)
-        return self._choose_alone(pool, req)
+        return self._choose_locally(pool, req)
 
-    def _choose_alone(self, pool: Pool, req: AdmitRequest) -> Result[Grant, NotRun]:
+    def _choose_locally(self, pool: Pool, req: AdmitRequest) -> Result[Grant, NotRun]:
         log_message("admission:alone", pool=pool.key, request=req.request_id)
-        grant = self._alone.choose(pool.engines, req, self._is_leaving)
+        grant = self._fallback.choose(pool.engines, req, self._is_leaving)
         if grant is None:
-            return Err(_no_engine(req))
-        self._batches.open(grant, pool.key, req)
+            return Err(_refuse_no_engine(req))
+        self._batches.add_run(grant, pool.key, req)
         return Ok(grant)
 
-    def _pool(self, req: AdmitRequest) -> Pool | None:
-        """Choose among the pools that serve the model, those of this region first."""
+    def _choose_pool(self, req: AdmitRequest) -> Pool | None:
+        """Choose among the pools that serve the model, preferring this region's."""
         pools = [pool for pool in self._homes.pools.values() if self._serves(pool, req)]
-        mine = [pool for pool in pools if pool.region == self._nodes.me.region]
-        choices = {pool.key: pool for pool in mine or pools}
+        local_pools = [pool for pool in pools if pool.region == self._nodes.me.region]
+        choices = {pool.key: pool for pool in local_pools or pools}
         if not choices:
             return None
         if req.prefixes:
-            # Requests that share a beginning meet at one shard, where it is cached.
+            # Requests with the same prefix go to the same shard, which has it cached.
             return choices[rank(req.prefixes[0], choices)[0]]
         return choices[self._rng.choice(sorted(choices))]
 
@@ -190,17 +188,19 @@
     async def _ask_home(
         self, home: Member, pool: Pool, req: AdmitRequest
     ) -> Grant | NotRun | None:
-        """Ask one home; None where it is lost or isn't the home."""
+        """Ask one home; return None where it is lost or isn't the home."""
         if home.node == self._nodes.me.node:
-            own = self._homes.admitting(pool.key)
-            answer = await own.admit(req) if own is not None else AdmitAnswer()
+            own_home = self._homes.home_for(pool.key)
+            answer = (
+                await own_home.admit(req) if own_home is not None else AdmitAnswer()
+            )
             return answer.grant or answer.refusal
         task = asyncio.get_running_loop().create_task(self._exchange(home, pool, req))
         try:
-            await self._until_gone(task, home)
+            await self._wait_while_live(task, home)
         except asyncio.CancelledError:
-            # The caller has gone. Closing the connection tells the home too, but not
-            # where a link stalls, and a grant may be on its way already.
+            # The caller has disconnected. The home also notices the closed connection,
+            # except on a stalled link or when it has already sent the grant.
             self._batches.cancel(pool.key, home, req.request_id)
             raise
         finally:
@@ -212,15 +212,17 @@
             return None
         return outcome.grant or outcome.refusal
 
-    async def _until_gone(self, task: asyncio.Task[Outcome], home: Member) -> None:
-        """Wait for the answer, but not for a home that is no longer live.
+    async def _wait_while_live(
+        self, task: asyncio.Task[AdmitOutcome], home: Member
+    ) -> None:
+        """Wait for the answer as long as the home is live.
 
-        A home that is frozen or cut off closes no connection: without this the
-        request would wait on it until its own deadline, and be refused with engines
-        standing free.
+        A home that is frozen or partitioned closes no connection. Without this check
+        the request would wait for it until its own deadline and be refused while
+        engines are free.
         """
         changed = asyncio.Event()
-        self._waiting.add(changed)
+        self._change_events.add(changed)
         try:
             while not task.done():
                 waiter = asyncio.ensure_future(changed.wait())
@@ -234,9 +236,11 @@
                 if home.node not in {member.node for member in self._nodes.live()}:
                     return
         finally:
-            self._waiting.discard(changed)
+            self._change_events.discard(changed)
 
-    async def _exchange(self, home: Member, pool: Pool, req: AdmitRequest) -> Outcome:
+    async def _exchange(
+        self, home: Member, pool: Pool, req: AdmitRequest
+    ) -> AdmitOutcome:
         body = msgspec.json.encode(
             AdmitBody(
                 pool=pool.key,
@@ -246,30 +250,30 @@
                 queue_deadline_at=self._clock.wall_of_deadline(req.queue_deadline),
             )
         )
-        answered = await self._client.request(
+        response = await self._client.request(
             home.peer,
             "POST",
             ADMIT_PATH,
             body=body,
             headers=self._keys.headers("POST", ADMIT_PATH, body),
-            deadline=req.queue_deadline + MARGIN_SECONDS,
+            deadline=req.queue_deadline + ANSWER_MARGIN_SECONDS,
         )
-        if isinstance(answered, Err) or answered.ok_value.status != 200:
+        if isinstance(response, Err) or response.ok_value.status != 200:
             log_message("admission:home_lost", home=home.node, pool=pool.key)
             return None
         try:
-            return msgspec.json.decode(answered.ok_value.body, type=AdmitAnswer)
+            return msgspec.json.decode(response.ok_value.body, type=AdmitAnswer)
         except msgspec.DecodeError as exc:
             self._metrics.count("bad_input", peer="node", problem="admit_answer")
             log_message("nodes:bad_input", peer=home.node, problem=str(exc))
             return None
 
-    def _wake(self) -> None:
-        for event in self._waiting:
+    def _on_nodes_change(self) -> None:
+        for event in self._change_events:
             event.set()
 
 
-def _no_engine(req: AdmitRequest) -> NotRun:
+def _refuse_no_engine(req: AdmitRequest) -> NotRun:
     return NotRun(
         reason="no_engine",
         detail=f"no engine serves {req.model} just now",
@@ -277,7 +281,7 @@
     )
 
 
-def _late() -> NotRun:
+def _refuse_late() -> NotRun:
     return NotRun(
         reason="queue_deadline",
         detail="no engine had room in time",
--- a/celerytrail/nodes/alone.py
+++ b/celerytrail/nodes/alone.py
@@ -1,4 +1,4 @@
-"""What an entry node decides by when it can reach no home."""
+"""Choice of an engine by an entry node that can reach no home."""
 
 from __future__ import annotations
 
@@ -16,22 +16,22 @@
 
 
 class AloneChooser:
-    """Chooses an engine by the last reports this node was given and its own work.
+    """Chooses an engine by the last known reports and this node's own grants.
 
     Parameters
     ----------
     configuration : Configuration
-        Names the engines.
+        Lists the engines.
     routing : RoutingPolicy
         Chooses among the engines.
     clock : Clock
         Monotonic time.
     rng : random.Random
-        For names of grants.
+        For grant ids.
     lengths : LengthModel
-        What the routing forecasts by; it learns from every generation of this node,
-        whoever granted it. Were it fed only while no home can be reached, it would
-        know nothing in just the moment it is needed.
+        Lengths that the routing policy forecasts with. It learns from every generation
+        of this node, including those that homes granted. If it learned only while no
+        home can be reached, it would have no data when it is first needed.
     """
 
     def __init__(
@@ -44,21 +44,21 @@
         lengths: LengthModel,
     ) -> None:
         self._lengths = lengths
-        self._asked: dict[str, AdmitRequest] = {}
+        self._requests: dict[str, AdmitRequest] = {}
         self._routing = routing
         self._clock = clock
         self._rng = rng
         self._book = EngineBook()
-        self._take_document(configuration.current)
-        configuration.subscribe(self._take_document)
+        self._apply_document(configuration.current)
+        configuration.subscribe(self._apply_document)
 
-    def _take_document(self, current: VersionedDocument) -> None:
+    def _apply_document(self, current: VersionedDocument) -> None:
         self._book.set_engines(current.document.engines, self._clock.monotonic())
 
-    def take_reports(
+    def on_reports(
         self, reports: Sequence[EngineReport], ages: Sequence[float]
     ) -> None:
-        """Take in reports that a home passed on, and how old each is in seconds."""
+        """Update the engines' state from a home's reports and their ages in seconds."""
         now = self._clock.monotonic()
         for report, age in zip(reports, ages, strict=False):
             self._book.report(report, now, age=age)
@@ -69,10 +69,10 @@
         req: AdmitRequest,
         is_leaving: Callable[[str], bool],
     ) -> Grant | None:
-        """Return a grant of this node's own; None where no engine serves."""
+        """Return a grant of this node itself, None where no engine is available."""
         now = self._clock.monotonic()
         names = {engine.name for engine in engines if not is_leaving(engine.name)}
-        # Old reports do not rule an engine out here: without a home all are old.
+        # The age of a report doesn't exclude an engine: without a home all are old.
         views = [
             view
             for name, view in self._book.views.items()
@@ -88,16 +88,16 @@
         self._book.grant(grant.grant_id, view.name, req, now)
         return grant
 
-    def note(self, grant: Grant, req: AdmitRequest) -> None:
-        """Note what a grant is for, to learn from its end."""
-        self._asked[grant.grant_id] = req
+    def record_grant(self, grant: Grant, req: AdmitRequest) -> None:
+        """Record the request of a grant, to learn its length from its end."""
+        self._requests[grant.grant_id] = req
 
     def finish(self, grant: Grant, n_tokens: int, end: GenerationEnd) -> None:
-        """Strike a grant off and learn from its length."""
+        """Remove a grant and learn from its length."""
         self._book.finish(grant.grant_id, self._clock.monotonic())
-        req = self._asked.pop(grant.grant_id, None)
+        req = self._requests.pop(grant.grant_id, None)
         if req is None or end == "not_run":
             return
-        is_cut = end != "answered" or n_tokens >= req.n_max_tokens
+        is_censored = end != "answered" or n_tokens >= req.n_max_tokens
         self._lengths.advance(req.model, req.organisation, 0, n_tokens)
-        self._lengths.end(req.model, req.organisation, n_tokens, censored=is_cut)
+        self._lengths.end(req.model, req.organisation, n_tokens, censored=is_censored)
--- a/celerytrail/nodes/homes.py
+++ b/celerytrail/nodes/homes.py
@@ -1,4 +1,4 @@
-"""The pools whose home this node is, and the routes by which entry nodes ask it."""
+"""Pools that this node is the home of, and the routes by which entry nodes ask it."""
 
 from __future__ import annotations
 
@@ -30,46 +30,46 @@
     ProgressAnswer,
     ProgressBody,
 )
-from .poolhome import LeavingNews, PoolHome
+from .poolhome import OnLeavingChange, PoolHome
 from .pools import Pool, pools_of
 from .signing import PeerKeys
 from .view import NodesView, Ranking
 
-# A node serves as home where it is first or second in its own view. An entry node that
-# has just lost the first asks the second, which may not have noticed yet; were it
-# refused, it would have no home for the seconds until all agree.
-N_ACCEPTING = 2
-IDLE_SECONDS = 30.0
-SWEEP_SECONDS = 5.0
+# A node acts as home where it ranks first or second in its own view. An entry node that
+# has just lost the first asks the second, which may not have detected the loss yet. If
+# the second refused, there would be no home for the seconds until the views agree.
+N_ELIGIBLE_HOMES = 2
+IDLE_HOME_SECONDS = 30.0
+SWEEP_INTERVAL_SECONDS = 5.0
 
 T = TypeVar("T")
 IsLeaving = Callable[[str], bool]
 
 
 class Homes:
-    """Runs a `PoolHome` for each pool that falls to this node.
+    """Runs a `PoolHome` for each pool that this node ranks first for.
 
     Parameters
     ----------
     nodes : NodesView
         The live nodes.
     keys : PeerKeys
-        Check requests.
+        Verify the signatures of requests.
     configuration : Configuration
-        Names the engines.
+        Lists the engines.
     client : EngineClient
-        Polls them.
+        Polls the engines.
     clock : Clock
         Monotonic and wall time.
     rng : random.Random
-        Handed on to the pools' schedulers.
+        Passed to the pools' schedulers.
     metrics : Metrics
         Counts bad input.
     is_leaving : callable
-        Whether an engine is known to leave, by its name.
+        Returns whether the engine of a name is known to be leaving.
     tell_leaving : callable
-        Called with an engine's name and time when it reports that it leaves, and with
-        None when it takes that back.
+        Called with an engine's name and its time of leaving when it reports that it
+        leaves, and with None instead of the time when it reports that it stays.
     """
 
     def __init__(
@@ -83,7 +83,7 @@
         rng: random.Random,
         metrics: Metrics,
         is_leaving: IsLeaving = lambda engine: False,
-        tell_leaving: LeavingNews = lambda engine, at: None,
+        tell_leaving: OnLeavingChange = lambda engine, at: None,
     ) -> None:
         self._nodes = nodes
         self._keys = keys
@@ -93,76 +93,77 @@
         self._rng = rng
         self._metrics = metrics
         self._is_leaving = is_leaving
-        self._tell_leaving = tell_leaving
+        self._on_leaving_change = tell_leaving
         self._ranking = Ranking(nodes=nodes)
         self._homes: dict[str, PoolHome] = {}
-        self._led: set[str] = set()
-        self._timer: asyncio.TimerHandle | None = None
+        self._led_pools: set[str] = set()
+        self._sweep_timer: asyncio.TimerHandle | None = None
         self._is_started = False
-        self._is_refresh_due = False
-        self._version = -1
+        self._is_refresh_scheduled = False
+        self._document_version = -1
         self.pools: dict[str, Pool] = {}
 
     def add_routes(self, router: Router) -> None:
-        """Add the routes by which entry nodes ask."""
-        router.add("POST", ADMIT_PATH, self._admit)
-        router.add("POST", PROGRESS_PATH, self._progress)
+        """Add the routes for admission requests and progress batches."""
+        router.add("POST", ADMIT_PATH, self._on_admit)
+        router.add("POST", PROGRESS_PATH, self._on_progress)
 
     async def start(self) -> None:
-        """Take up the pools that fall to this node, now and with each change."""
+        """Open the homes of this node's pools, now and after each change."""
         self._is_started = True
-        self._configuration.subscribe(lambda document: self._refresh_soon())
-        self._nodes.on_change(self._refresh_soon)
+        self._configuration.subscribe(lambda document: self._schedule_refresh())
+        self._nodes.on_change(self._schedule_refresh)
         self._sweep()
 
     async def stop(self) -> None:
-        """Hand all who wait to other homes."""
+        """Close all homes and send their waiting requests to other homes."""
         self._is_started = False
-        if self._timer is not None:
-            self._timer.cancel()
+        if self._sweep_timer is not None:
+            self._sweep_timer.cancel()
         for home in self._homes.values():
             home.close()
         self._homes.clear()
 
     def refresh(self) -> None:
-        """Bring the homes in step with the document, the nodes and who leaves.
+        """Update the homes to the document, the live nodes and the leaving engines.
 
-        To be called when an engine becomes known to leave; the rest calls it itself.
+        Callers invoke it when an engine becomes known to leave. Changes of the document
+        and of the live nodes trigger it automatically.
         """
-        self._is_refresh_due = False
+        self._is_refresh_scheduled = False
         if not self._is_started:
             return
-        self._take_document()
+        self._apply_document()
         me = self._nodes.me.node
-        led = set()
+        led_pools = set()
         for key, pool in self.pools.items():
             order = self._ranking.order(key, pool.region)
             if order and order[0].node == me:
-                led.add(key)
-                self._open(pool)
+                led_pools.add(key)
+                self._open_home(pool)
         for key in list(self._homes):
             if key not in self.pools:
                 self._homes.pop(key).close()
-            elif key in self._led - led:
-                # A new home has taken over. Those who wait here would be served by
-                # the leavings of two queues; they move on to the new one at once.
+            elif key in self._led_pools - led_pools:
+                # Another home has taken over. Requests that stay in this queue would
+                # compete with those in the other, so they move there at once.
                 log_message("homes:released", pool=key)
                 self._homes[key].release()
-        self._led = led
+        self._led_pools = led_pools
         for key, home in self._homes.items():
-            home.set_engines(self._specs(self.pools[key]))
+            home.set_engines(self._engine_specs(self.pools[key]))
 
     def reports(self) -> dict[str, SeenReport]:
-        """Return the last report of each engine of the pools that this node leads."""
+        """Return the last report of each engine in the pools that this node leads."""
         return {
             name: SeenReport(report=view.report, at=view.reported_at)
-            for key in self._led & self._homes.keys()
+            for key in self._led_pools & self._homes.keys()
             for name, view in self._homes[key].scheduler.book.views.items()
             if view.report is not None
         }
 
     def describe(self) -> dict[str, object]:
-        """Return the queues and engines of this node's homes, for operators."""
+        """Return the queues and engines of this node's homes for the status page."""
         pools = {}
         for key, home in self._homes.items():
             engines = {
@@ -175,42 +176,40 @@
                 for name, view in home.scheduler.book.views.items()
             }
             pools[key] = {
-                "is_led_here": key in self._led,
+                "is_led_here": key in self._led_pools,
                 "n_waiting": home.scheduler.n_waiting,
                 "engines": engines,
             }
         return {"pools": pools}
 
-    def admitting(self, pool: str) -> PoolHome | None:
-        """Return the home of a pool where this node may act as it."""
-        known = self.pools.get(pool)
-        if known is None or not self._is_started:
+    def home_for(self, pool_key: str) -> PoolHome | None:
+        """Return the home of a pool, None where this node may not act as its home."""
+        pool = self.pools.get(pool_key)
+        if pool is None or not self._is_started:
             return None
-        order = self._ranking.order(pool, known.region)
+        order = self._ranking.order(pool_key, pool.region)
         me = self._nodes.me.node
-        if me not in [member.node for member in order[:N_ACCEPTING]]:
+        if me not in [member.node for member in order[:N_ELIGIBLE_HOMES]]:
             return None
-        return self._open(known)
+        return self._open_home(pool)
 
-    # Inside.
+    def _schedule_refresh(self) -> None:
+        """Schedule one refresh for all changes of the current event loop step.
 
-    def _refresh_soon(self) -> None:
-        """Refresh once for all changes of this moment.
-
-        A lost failure domain comes as dozens of changes in one datagram. At 10 ms for
-        each, tokens would stand still for a second.
+        The loss of a failure domain arrives as dozens of changes in one datagram. A
+        refresh takes 10 ms; one for each change would stall token streams for a second.
         """
-        if not self._is_refresh_due:
-            self._is_refresh_due = True
+        if not self._is_refresh_scheduled:
+            self._is_refresh_scheduled = True
             asyncio.get_running_loop().call_soon(self.refresh)
 
-    def _take_document(self) -> None:
+    def _apply_document(self) -> None:
         current = self._configuration.current
-        if current.version != self._version:
-            self._version = current.version
+        if current.version != self._document_version:
+            self._document_version = current.version
             self.pools = pools_of(current.document)
 
-    def _open(self, pool: Pool) -> PoolHome:
+    def _open_home(self, pool: Pool) -> PoolHome:
         home = self._homes.get(pool.key)
         if home is None:
             log_message("homes:opened", pool=pool.key)
@@ -221,59 +220,63 @@
                 clock=self._clock,
                 rng=self._rng,
                 metrics=self._metrics,
-                tell_leaving=self._tell_leaving,
+                tell_leaving=self._on_leaving_change,
             )
             self._homes[pool.key] = home
-            home.set_engines(self._specs(pool))
+            home.set_engines(self._engine_specs(pool))
         return home
 
-    def _specs(self, pool: Pool) -> list[EngineSpec]:
+    def _engine_specs(self, pool: Pool) -> list[EngineSpec]:
         return [
             replace(engine, role="drain") if self._is_leaving(engine.name) else engine
             for engine in pool.engines
         ]
 
     def _sweep(self) -> None:
-        """Close homes that nobody uses and that others lead; look at all again."""
+        """Close unused homes of pools that other nodes lead, then refresh all."""
         loop = asyncio.get_running_loop()
-        self._timer = loop.call_later(SWEEP_SECONDS, self._sweep)
+        self._sweep_timer = loop.call_later(SWEEP_INTERVAL_SECONDS, self._sweep)
         now = self._clock.monotonic()
         for key, home in list(self._homes.items()):
-            is_unused = home.is_idle and now - home.used_at > IDLE_SECONDS
-            if key not in self._led and is_unused:
+            is_unused = home.is_idle and now - home.used_at > IDLE_HOME_SECONDS
+            if key not in self._led_pools and is_unused:
                 self._homes.pop(key).close()
         self.refresh()
 
-    async def _admit(self, req: Request, res: Responder, _: Params) -> None:
-        body = await self._read(req, res, AdmitBody)
+    async def _on_admit(self, req: Request, res: Responder, _: Params) -> None:
+        body = await self._decode_body(req, res, AdmitBody)
         if body is None:
             return
-        home = self.admitting(body.pool)
+        home = self.home_for(body.pool)
         if home is None:
             await res.send_json(200, AdmitAnswer())
             return
-        patience = max(0.0, body.queue_deadline_at - body.sent_at)
-        asked = replace(body.req, queue_deadline=self._clock.monotonic() + patience)
-        answer = await _unless_lost(home, asked, res)
+        wait_seconds = max(0.0, body.queue_deadline_at - body.sent_at)
+        local_req = replace(
+            body.req, queue_deadline=self._clock.monotonic() + wait_seconds
+        )
+        answer = await _admit_unless_disconnected(home, local_req, res)
         if answer is not None:
             await res.send_json(200, answer)
 
-    async def _progress(self, req: Request, res: Responder, _: Params) -> None:
-        body = await self._read(req, res, ProgressBody)
+    async def _on_progress(self, req: Request, res: Responder, _: Params) -> None:
+        body = await self._decode_body(req, res, ProgressBody)
         if body is None:
             return
-        home = self.admitting(body.pool) or self._homes.get(body.pool)
+        home = self.home_for(body.pool) or self._homes.get(body.pool)
         if home is None:
             await res.send_json(200, ProgressAnswer(is_home=False))
             return
-        await res.send_json(200, home.take(body))
+        await res.send_json(200, home.apply_batch(body))
 
-    async def _read(self, req: Request, res: Responder, kind: type[T]) -> T | None:
+    async def _decode_body(
+        self, req: Request, res: Responder, body_type: type[T]
+    ) -> T | None:
         if not self._keys.accepts(req):
             await refuse_signature(res, self._metrics)
             return None
         try:
-            return msgspec.json.decode(req.body, type=kind)
+            return msgspec.json.decode(req.body, type=body_type)
         except msgspec.DecodeError as exc:
             self._metrics.count("bad_input", peer="node", problem="body")
             log_message("nodes:bad_input", peer=req.peer, problem=str(exc))
@@ -283,14 +286,14 @@
             return None
 
 
-async def _unless_lost(
+async def _admit_unless_disconnected(
     home: PoolHome, req: AdmitRequest, res: Responder
 ) -> AdmitAnswer | None:
-    """Wait for the decision; give up the place when the entry node has gone."""
+    """Wait for the decision; leave the queue when the entry node disconnects."""
     task = asyncio.get_running_loop().create_task(home.admit(req))
     try:
-        both: list[asyncio.Future[Any]] = [task, res.lost]
-        await asyncio.wait(both, return_when=asyncio.FIRST_COMPLETED)
+        awaited: list[asyncio.Future[Any]] = [task, res.lost]
+        await asyncio.wait(awaited, return_when=asyncio.FIRST_COMPLETED)
     finally:
         if not task.done():
             task.cancel()
--- a/celerytrail/nodes/limit_homes.py
+++ b/celerytrail/nodes/limit_homes.py
@@ -1,4 +1,4 @@
-"""Limits per organisation over many nodes: who lends, who borrows, and the messages."""
+"""Limits per organisation over many nodes: lending, borrowing and their messages."""
 
 from __future__ import annotations
 
@@ -21,23 +21,23 @@
 from ..policies.limits import Limit, LimitBorrower, LimitLender, Loan, LoanRequest
 from ..types import NotRun
 from .exchange import refuse_signature
-from .homes import N_ACCEPTING
+from .homes import N_ELIGIBLE_HOMES
 from .member import Member
 from .signing import PeerKeys
 from .view import NodesView, Ranking
 
 BORROW_PATH = "/peer/v1/borrow"
-# How often the borrower is asked whether it needs anything, in seconds.
-ROUND_SECONDS = 0.1
-EXCHANGE_SECONDS = 1.0
-FORGET_SECONDS = 10.0
-# Organisations are borrowed for by groups, so that those of one group share an
-# exchange. More groups spread the lending over more nodes, fewer save exchanges.
+# Interval at which this node requests the loans that its borrower needs.
+ROUND_INTERVAL_SECONDS = 0.1
+EXCHANGE_TIMEOUT_SECONDS = 1.0
+FORGET_INTERVAL_SECONDS = 10.0
+# Each group of organisations has one home, so that loans for a group share an exchange.
+# More groups spread the lending over more nodes; fewer save exchanges.
 N_GROUPS = 64
 
 
-class _Asked(msgspec.Struct, array_like=True, frozen=True):
-    """A `LoanRequest` without its borrower."""
+class _LoanRequestRow(msgspec.Struct, array_like=True, frozen=True):
+    """Wire form of a `LoanRequest`, without its borrower."""
 
     organisation: str
     n_tokens: int
@@ -45,8 +45,8 @@
     n_places_used: int
 
 
-class _Lent(msgspec.Struct, array_like=True, frozen=True):
-    """A `Loan`."""
+class _LoanRow(msgspec.Struct, array_like=True, frozen=True):
+    """Wire form of a `Loan`."""
 
     organisation: str
     n_tokens: int
@@ -54,31 +54,31 @@
 
 
 class BorrowBody(msgspec.Struct, frozen=True, kw_only=True):
-    """What an entry node asks of a limit home."""
+    """A request of an entry node for loans from a limit home."""
 
     sender: str
-    asked: list[_Asked]
+    asked: list[_LoanRequestRow]
 
 
 class BorrowAnswer(msgspec.Struct, frozen=True, kw_only=True):
-    """What the home lends; organisations that are not its own are left out."""
+    """The loans of a limit home; organisations that have another home are left out."""
 
-    lent: list[_Lent]
+    lent: list[_LoanRow]
 
 
 class LimitHomes:
-    """Keeps organisations' limits together with the other nodes.
+    """Enforces organisations' limits across all nodes by lending and borrowing.
 
     Parameters
     ----------
     nodes : NodesView
         The live nodes.
     configuration : Configuration
-        States the limits.
+        Lists the limits.
     keys : PeerKeys
-        Sign and check requests.
+        Sign requests and verify their signatures.
     client : HttpClient
-        Makes them.
+        Sends requests.
     clock : Clock
         Monotonic time.
     metrics : Metrics
@@ -105,34 +105,32 @@
         self._borrower = LimitBorrower(name=nodes.me.node)
         self._limits: dict[str, Limit] = {}
         self._home_since: dict[str, float] = {}
-        self._has_changed = True
-        nodes.on_change(self._note_change)
+        self._is_ranking_stale = True
+        nodes.on_change(self._on_nodes_change)
         self._task: asyncio.Task[None] | None = None
-        self._asking: set[asyncio.Task[None]] = set()
+        self._exchanges: set[asyncio.Task[None]] = set()
         self._forget_at = 0.0
-        self._take_document(configuration.current)
-        configuration.subscribe(self._take_document)
+        self._apply_document(configuration.current)
+        configuration.subscribe(self._apply_document)
 
     def add_routes(self, router: Router) -> None:
         """Add the route by which entry nodes borrow."""
-        router.add("POST", BORROW_PATH, self._lend)
+        router.add("POST", BORROW_PATH, self._on_borrow)
 
     async def start(self) -> None:
-        """Begin to borrow."""
+        """Start borrowing."""
         self._task = asyncio.get_running_loop().create_task(self._run())
 
     async def stop(self) -> None:
-        """Stop."""
-        tasks = [task for task in (self._task, *self._asking) if task is not None]
+        """Stop borrowing."""
+        tasks = [task for task in (self._task, *self._exchanges) if task is not None]
         for task in tasks:
             task.cancel()
         if tasks:
             await asyncio.wait(tasks)
 
-    # What a node's own requests need.
-
     def admit(self, organisation: str, n_tokens: float) -> NotRun | None:
-        """Take a place and tokens for a generation, or return the refusal; no wait."""
+        """Take a place and tokens for a generation or return the refusal, at once."""
         limit = self._limits.get(organisation)
         if limit is None:
             return None
@@ -144,21 +142,19 @@
             now=self._clock.monotonic(),
         )
 
-    def is_over(self, deadline: float) -> bool:
+    def has_passed(self, deadline: float) -> bool:
         """Return whether a deadline has passed."""
         return self._clock.monotonic() >= deadline
 
     def settle(self, organisation: str, n_tokens: float) -> None:
-        """Charge tokens beyond those taken, or give some back when negative."""
+        """Charge tokens beyond those taken, or refund some when negative."""
         self._borrower.settle(organisation, n_tokens)
 
     def release(self, organisation: str) -> None:
-        """Give back the place of a generation that has ended."""
+        """Free the place of a generation that has ended."""
         self._borrower.release(organisation)
 
-    # Inside.
-
-    def _take_document(self, current: VersionedDocument) -> None:
+    def _apply_document(self, current: VersionedDocument) -> None:
         self._limits = {
             spec.name: Limit(
                 n_tokens_per_second=spec.n_tokens_per_second,
@@ -168,12 +164,12 @@
             if spec.n_tokens_per_second is not None or spec.n_concurrent is not None
         }
 
-    def _note_change(self) -> None:
-        self._has_changed = True
+    def _on_nodes_change(self) -> None:
+        self._is_ranking_stale = True
 
-    def _note_homes(self) -> None:
-        """Note since when this node is the home of each group."""
-        self._has_changed = False
+    def _update_home_since(self) -> None:
+        """Record since when this node has been the home of each group."""
+        self._is_ranking_stale = False
         now = self._clock.monotonic()
         me = self._nodes.me.node
         for number in range(N_GROUPS):
@@ -186,40 +182,42 @@
 
     async def _run(self) -> None:
         while True:
-            await asyncio.sleep(ROUND_SECONDS)
+            await asyncio.sleep(ROUND_INTERVAL_SECONDS)
             try:
-                self._borrow()
+                self._borrow_round()
             except Exception as exc:
-                # Were the round to end for good, every limit would stay at what was
-                # borrowed last, and the organisations be refused for ever.
+                # If the rounds ended, every limit would stay at the last loan and the
+                # organisations would be refused for ever.
                 log_message("limits:round_failed", problem=repr(exc))
 
-    def _borrow(self) -> None:
+    def _borrow_round(self) -> None:
         now = self._clock.monotonic()
-        if self._has_changed:
-            self._note_homes()
+        if self._is_ranking_stale:
+            self._update_home_since()
         if now >= self._forget_at:
-            self._forget_at = now + FORGET_SECONDS
+            self._forget_at = now + FORGET_INTERVAL_SECONDS
             self._lender.forget_idle(now)
         by_home: dict[str, tuple[Member, list[LoanRequest]]] = {}
         for req in self._borrower.requests(now):
-            order = self._ranking.order(_group(req.organisation), None)
+            order = self._ranking.order(_group_of(req.organisation), None)
             if order:
                 by_home.setdefault(order[0].node, (order[0], []))[1].append(req)
         for home, requests in by_home.values():
             if home.node == self._nodes.me.node:
-                self._receive(self._loans(home.node, requests))
+                self._receive(self._make_loans(home.node, requests))
                 continue
-            task = asyncio.get_running_loop().create_task(self._ask(home, requests))
-            self._asking.add(task)
-            task.add_done_callback(self._asking.discard)
+            task = asyncio.get_running_loop().create_task(
+                self._request_loans(home, requests)
+            )
+            self._exchanges.add(task)
+            task.add_done_callback(self._exchanges.discard)
 
     def _receive(self, loans: Sequence[Loan]) -> None:
         now = self._clock.monotonic()
         for loan in loans:
             self._borrower.receive(loan, now)
 
-    def _loans(self, borrower: str, requests: Sequence[LoanRequest]) -> list[Loan]:
+    def _make_loans(self, borrower: str, requests: Sequence[LoanRequest]) -> list[Loan]:
         now = self._clock.monotonic()
         n_nodes = max(1, len(self._nodes.live()))
         loans = []
@@ -231,40 +229,44 @@
                     limit,
                     n_nodes=n_nodes,
                     now=now,
-                    home_since=self._home_since.get(_group(req.organisation)),
+                    home_since=self._home_since.get(_group_of(req.organisation)),
                 )
                 loans.append(loan)
         return loans
 
     def _is_home(self, organisation: str) -> bool:
-        order = self._ranking.order(_group(organisation), None)
-        names = [member.node for member in order[:N_ACCEPTING]]
+        order = self._ranking.order(_group_of(organisation), None)
+        names = [member.node for member in order[:N_ELIGIBLE_HOMES]]
         return self._nodes.me.node in names
 
-    async def _ask(self, home: Member, requests: Sequence[LoanRequest]) -> None:
+    async def _request_loans(
+        self, home: Member, requests: Sequence[LoanRequest]
+    ) -> None:
         asked = [
-            _Asked(req.organisation, req.n_tokens, req.n_places, req.n_places_used)
+            _LoanRequestRow(
+                req.organisation, req.n_tokens, req.n_places, req.n_places_used
+            )
             for req in requests
         ]
         body = msgspec.json.encode(BorrowBody(sender=self._nodes.me.node, asked=asked))
-        answered = await self._client.request(
+        response = await self._client.request(
             home.peer,
             "POST",
             BORROW_PATH,
             body=body,
             headers=self._keys.headers("POST", BORROW_PATH, body),
-            deadline=self._clock.monotonic() + EXCHANGE_SECONDS,
+            deadline=self._clock.monotonic() + EXCHANGE_TIMEOUT_SECONDS,
         )
-        if isinstance(answered, Err) or answered.ok_value.status != 200:
-            # The borrower goes by the even share once no loan has come for a while.
+        if isinstance(response, Err) or response.ok_value.status != 200:
+            # Without loans the borrower falls back to an even share after a while.
             return
         try:
-            answer = msgspec.json.decode(answered.ok_value.body, type=BorrowAnswer)
+            answer = msgspec.json.decode(response.ok_value.body, type=BorrowAnswer)
         except msgspec.DecodeError as exc:
             self._metrics.count("bad_input", peer="node", problem="borrow_answer")
             log_message("nodes:bad_input", peer=home.node, problem=str(exc))
             return
-        asked_names = {req.organisation for req in requests}
+        requested_names = {req.organisation for req in requests}
         self._receive(
             [
                 Loan(
@@ -273,11 +275,11 @@
                     n_places=lent.n_places,
                 )
                 for lent in answer.lent
-                if lent.organisation in asked_names
+                if lent.organisation in requested_names
             ]
         )
 
-    async def _lend(self, req: Request, res: Responder, _: Params) -> None:
+    async def _on_borrow(self, req: Request, res: Responder, _: Params) -> None:
         if not self._keys.accepts(req):
             await refuse_signature(res, self._metrics)
             return
@@ -300,13 +302,13 @@
             for asked in body.asked
         ]
         lent = [
-            _Lent(loan.organisation, loan.n_tokens, loan.n_places)
-            for loan in self._loans(body.sender, requests)
+            _LoanRow(loan.organisation, loan.n_tokens, loan.n_places)
+            for loan in self._make_loans(body.sender, requests)
         ]
         await res.send_json(200, BorrowAnswer(lent=lent))
 
 
-def _group(organisation: str) -> str:
+def _group_of(organisation: str) -> str:
     digest = hashlib.blake2b(organisation.encode(), digest_size=8).digest()
     return _group_name(int.from_bytes(digest, "big") % N_GROUPS)
 
--- a/celerytrail/nodes/limited.py
+++ b/celerytrail/nodes/limited.py
@@ -1,4 +1,4 @@
-"""An admitter that holds organisations to their limits before it asks another."""
+"""An admitter that enforces organisations' limits before it asks another admitter."""
 
 from __future__ import annotations
 
@@ -11,101 +11,110 @@
 from ..types import NotRun
 from .limit_homes import LimitHomes
 
-# Tokens taken for a generation before anything is known of an organisation's.
-FIRST_TOKENS = 128
-# How often, and after how many seconds each, a refused request asks again.
+# Length assumed for an organisation's generations until one has ended.
+DEFAULT_LENGTH_TOKENS = 128
+# A refused request is tried again this many times, after this wait each time.
 N_LOAN_WAITS = 2
-LOAN_SECONDS = 0.3
-MEAN_GAIN = 0.1
-MAX_MEANS = 10_000
+LOAN_WAIT_SECONDS = 0.3
+MEAN_SMOOTHING = 0.1
+MAX_MEAN_LENGTHS = 10_000
 
 
 @dataclass(kw_only=True, slots=True)
-class _Held:
+class _Reservation:
     organisation: str
     n_tokens: float
 
 
 class LimitedAdmitter(Admitter):
-    """Takes a place and tokens of the organisation's limit for each generation.
+    """Charges each generation to its organisation's limit.
 
-    The length is unknown, so the organisation's usual length is taken first, and what
-    it really produces is charged as it comes and settled at its end.
+    A generation's length is unknown at admission, so the organisation's mean length is
+    charged first. Tokens beyond it are charged as they are produced, and the difference
+    is settled at the end.
 
     Parameters
     ----------
     inner : Admitter
-        Decides when and where it starts.
+        Decides when and where a generation starts.
     limits : LimitHomes
-        Holds the limits together with the other nodes.
+        Enforces the limits across all nodes.
     """
 
     def __init__(self, *, inner: Admitter, limits: LimitHomes) -> None:
         self._inner = inner
         self._limits = limits
-        self._held: dict[str, _Held] = {}
-        self._means: dict[str, float] = {}
+        self._reservations: dict[str, _Reservation] = {}
+        self._mean_lengths: dict[str, float] = {}
 
     async def admit(self, req: AdmitRequest) -> Result[Grant, NotRun]:
-        """Refuse over the limit; else wait for the inner admitter."""
-        usual = self._means.get(req.organisation, float(FIRST_TOKENS))
-        n_tokens = min(usual, float(req.n_max_tokens))
-        refusal = await self._take(req, n_tokens)
+        """Refuse a request over the limit, else wait for the inner admitter."""
+        mean_length = self._mean_lengths.get(
+            req.organisation, float(DEFAULT_LENGTH_TOKENS)
+        )
+        n_tokens = min(mean_length, float(req.n_max_tokens))
+        refusal = await self._reserve(req, n_tokens)
         if refusal is not None:
             return Err(refusal)
-        held = _Held(organisation=req.organisation, n_tokens=n_tokens)
+        reservation = _Reservation(organisation=req.organisation, n_tokens=n_tokens)
         try:
             answer = await self._inner.admit(req)
         except BaseException:
-            # The caller has gone; its place would be missing for ever.
-            self._give_back(held)
+            # The caller has disconnected. Without the refund its place would never be
+            # freed.
+            self._refund(reservation)
             raise
         if isinstance(answer, Err):
-            self._give_back(held)
+            self._refund(reservation)
         else:
-            self._held[answer.ok_value.grant_id] = held
+            self._reservations[answer.ok_value.grant_id] = reservation
         return answer
 
     def progress(self, grant: Grant, n_tokens: int) -> None:
-        """Charge what goes beyond what was taken."""
+        """Charge the tokens beyond those charged so far."""
         self._inner.progress(grant, n_tokens)
-        held = self._held.get(grant.grant_id)
-        if held is not None and n_tokens > held.n_tokens:
-            self._limits.settle(held.organisation, n_tokens - held.n_tokens)
-            held.n_tokens = n_tokens
+        reservation = self._reservations.get(grant.grant_id)
+        if reservation is not None and n_tokens > reservation.n_tokens:
+            self._limits.settle(
+                reservation.organisation, n_tokens - reservation.n_tokens
+            )
+            reservation.n_tokens = n_tokens
 
     def finish(self, grant: Grant, n_tokens: int, end: GenerationEnd) -> None:
-        """Settle the tokens and give the place back, once."""
+        """Settle the tokens and free the place, once for each grant."""
         self._inner.finish(grant, n_tokens, end)
-        held = self._held.pop(grant.grant_id, None)
-        if held is None:
+        reservation = self._reservations.pop(grant.grant_id, None)
+        if reservation is None:
             return
-        self._limits.settle(held.organisation, n_tokens - held.n_tokens)
-        self._limits.release(held.organisation)
+        self._limits.settle(reservation.organisation, n_tokens - reservation.n_tokens)
+        self._limits.release(reservation.organisation)
         if end == "answered":
-            self._learn(held.organisation, n_tokens)
+            self._update_mean_length(reservation.organisation, n_tokens)
 
-    async def _take(self, req: AdmitRequest, n_tokens: float) -> NotRun | None:
-        """Take what is needed, asking again after the home had time to lend more.
+    async def _reserve(self, req: AdmitRequest, n_tokens: float) -> NotRun | None:
+        """Take a place and tokens, with retries that give the home time to lend more.
 
-        A node that nobody of the organisation used lately holds a small share only.
-        Were a burst refused by that alone, its callers would be told that a limit is
-        used up of which most is free.
+        A node that has had no recent requests of the organisation holds only a small
+        share of its limit. Without the retries, a burst there would be refused for an
+        exhausted limit of which most is free.
         """
         refusal = self._limits.admit(req.organisation, n_tokens)
         for _ in range(N_LOAN_WAITS):
-            if refusal is None or self._limits.is_over(req.queue_deadline):
+            if refusal is None or self._limits.has_passed(req.queue_deadline):
                 break
-            await asyncio.sleep(LOAN_SECONDS)
+            await asyncio.sleep(LOAN_WAIT_SECONDS)
             refusal = self._limits.admit(req.organisation, n_tokens)
         return refusal
 
-    def _give_back(self, held: _Held) -> None:
-        self._limits.settle(held.organisation, -held.n_tokens)
-        self._limits.release(held.organisation)
+    def _refund(self, reservation: _Reservation) -> None:
+        self._limits.settle(reservation.organisation, -reservation.n_tokens)
+        self._limits.release(reservation.organisation)
 
-    def _learn(self, organisation: str, n_tokens: int) -> None:
-        mean = self._means.get(organisation, float(FIRST_TOKENS))
-        if organisation not in self._means and len(self._means) >= MAX_MEANS:
+    def _update_mean_length(self, organisation: str, n_tokens: int) -> None:
+        mean = self._mean_lengths.get(organisation, float(DEFAULT_LENGTH_TOKENS))
+        if (
+            organisation not in self._mean_lengths
+            and len(self._mean_lengths) >= MAX_MEAN_LENGTHS
+        ):
             return
-        self._means[organisation] = mean + MEAN_GAIN * (n_tokens - mean)
+        self._mean_lengths[organisation] = mean + MEAN_SMOOTHING * (n_tokens - mean)
--- a/celerytrail/nodes/poolhome.py
+++ b/celerytrail/nodes/poolhome.py
@@ -22,22 +22,22 @@
 from .pools import Pool
 from .reportages import ReportAges
 
-POLL_SECONDS = 0.5
-LOAD_SECONDS = 1.0
-CACHE_EVERY = 4
-# A report is never taken to be older than this, in seconds: beyond it the engine's
-# clock is wrong and not its report old.
-MAX_REPORT_AGE = 10.0
+POLL_INTERVAL_SECONDS = 0.5
+ENGINE_TIMEOUT_SECONDS = 1.0
+POLLS_PER_CACHE_QUERY = 4
+# Upper bound of a report's age. A larger age means that the engine's clock is wrong,
+# not that its report is old.
+MAX_REPORT_AGE_SECONDS = 10.0
 
-# An engine's name and when it leaves, or None where it took that back.
-LeavingNews = Callable[[str, float | None], None]
+# Takes an engine's name and when it leaves, or None when it reports that it stays.
+OnLeavingChange = Callable[[str, float | None], None]
 
 
 class PoolHome:
     """Grants one pool's engines to requests from all entry nodes.
 
-    It knows nothing that can't be lost: a new home learns of the engines by their
-    reports, and of what runs by the entry nodes' next batches.
+    All of its state can be rebuilt after a failover: a new home learns the state of the
+    engines from their reports, and what runs from the entry nodes' next batches.
 
     Parameters
     ----------
@@ -46,15 +46,16 @@
     node : str
         This node.
     client : EngineClient
-        Asks engines for their load.
+        Fetches the engines' load reports and cache events.
     clock : Clock
         Monotonic and wall time.
     rng : random.Random
-        For the scheduler and the spread of polls.
+        For the scheduler and the jitter of polls.
     metrics : Metrics
         Counts bad reports and sets gauges.
     tell_leaving : callable
-        Called with an engine's name and time when it reports that it leaves.
+        Called with an engine's name and its time of leaving when it reports that it
+        leaves, and with None instead of the time when it reports that it stays.
     """
 
     def __init__(
@@ -66,62 +67,63 @@
         clock: Clock,
         rng: random.Random,
         metrics: Metrics,
-        tell_leaving: LeavingNews,
+        tell_leaving: OnLeavingChange,
     ) -> None:
         self.pool = pool
         self._client = client
         self._clock = clock
         self._rng = rng
         self._metrics = metrics
-        self._tell_leaving = tell_leaving
+        self._on_leaving_change = tell_leaving
         self.scheduler = PoolScheduler(model=pool.model, home=node, rng=rng)
-        self._asked: dict[str, asyncio.Future[AdmitAnswer]] = {}
-        self._watchers: dict[str, asyncio.Task[None]] = {}
-        self._ages: dict[str, ReportAges] = {}
-        self._leaving: set[str] = set()
+        self._pending: dict[str, asyncio.Future[AdmitAnswer]] = {}
+        self._poll_tasks: dict[str, asyncio.Task[None]] = {}
+        self._report_ages: dict[str, ReportAges] = {}
+        self._leaving_engines: set[str] = set()
         self._n_preemptions: dict[str, tuple[str, int]] = {}
         self._timer: asyncio.TimerHandle | None = None
         self.used_at = clock.monotonic()
 
     def set_engines(self, specs: Sequence[EngineSpec]) -> None:
-        """Decide about just these engines; those that leave have the role ``drain``."""
+        """Set the engines to schedule on; leaving ones have the role ``drain``."""
         self.scheduler.set_engines(specs, self._clock.monotonic())
-        wanted = {spec.name: spec for spec in specs}
-        for name in self._watchers.keys() - wanted.keys():
-            self._watchers.pop(name).cancel()
-            self._ages.pop(name, None)
+        specs_by_name = {spec.name: spec for spec in specs}
+        for name in self._poll_tasks.keys() - specs_by_name.keys():
+            self._poll_tasks.pop(name).cancel()
+            self._report_ages.pop(name, None)
             self._n_preemptions.pop(name, None)
         loop = asyncio.get_running_loop()
-        for name, spec in wanted.items():
-            if name not in self._watchers:
-                self._watchers[name] = loop.create_task(self._watch(spec))
-        self._poll()
+        for name, spec in specs_by_name.items():
+            if name not in self._poll_tasks:
+                self._poll_tasks[name] = loop.create_task(self._poll_engine(spec))
+        self._run_scheduler()
 
     async def admit(self, req: AdmitRequest) -> AdmitAnswer:
-        """Wait for a decision; cancelling this gives up the place."""
+        """Wait for a decision; cancelling this removes the request from the queue."""
         now = self._clock.monotonic()
         self.used_at = now
         fut: asyncio.Future[AdmitAnswer] = asyncio.get_running_loop().create_future()
-        former = self._asked.pop(req.request_id, None)
+        former = self._pending.pop(req.request_id, None)
         if former is not None and not former.done():
-            # Its entry node asks again, so nobody waits for the former answer.
+            # Its entry node asks again, so nobody awaits the answer to the former
+            # request.
             former.set_result(AdmitAnswer())
-        self._asked[req.request_id] = fut
+        self._pending[req.request_id] = fut
         self._resolve(self.scheduler.submit(req, now))
-        self._arm()
+        self._set_timer()
         try:
             return await fut
         except asyncio.CancelledError:
-            if self._asked.get(req.request_id) is fut:
+            if self._pending.get(req.request_id) is fut:
                 self.scheduler.cancel(req.request_id, self._clock.monotonic())
-                self._poll()
+                self._run_scheduler()
             raise
         finally:
-            if self._asked.get(req.request_id) is fut:
-                del self._asked[req.request_id]
+            if self._pending.get(req.request_id) is fut:
+                del self._pending[req.request_id]
 
-    def take(self, body: ProgressBody) -> ProgressAnswer:
-        """Take in an entry node's batch."""
+    def apply_batch(self, body: ProgressBody) -> ProgressAnswer:
+        """Apply an entry node's batch and return the answer to it."""
         now = self._clock.monotonic()
         self.used_at = now
         for request_id in body.cancelled:
@@ -136,7 +138,7 @@
         )
         for ended in body.ended:
             self.scheduler.finish(ended.grant_id, ended.n_tokens, ended.end, now)
-        self._poll()
+        self._run_scheduler()
         reports: list[EngineReport] = []
         ages = []
         if body.wants_reports:
@@ -150,36 +152,34 @@
 
     @property
     def is_idle(self) -> bool:
-        """Return whether nothing waits here and nothing that it granted runs."""
-        return not self._asked and not self.scheduler.n_live
+        """Return whether no request waits and no granted generation runs."""
+        return not self._pending and not self.scheduler.n_live
 
     def release(self) -> None:
-        """Send all who wait to another home, without a refusal."""
+        """Answer all waiting requests without a refusal, so they go to another home."""
         now = self._clock.monotonic()
-        for request_id, fut in list(self._asked.items()):
+        for request_id, fut in list(self._pending.items()):
             self.scheduler.cancel(request_id, now)
             if not fut.done():
                 fut.set_result(AdmitAnswer())
 
     def close(self) -> None:
-        """Stop polling and send all who wait to another home."""
+        """Stop polling and send all waiting requests to another home."""
         self.release()
         if self._timer is not None:
             self._timer.cancel()
-        for task in self._watchers.values():
+        for task in self._poll_tasks.values():
             task.cancel()
-        self._watchers.clear()
+        self._poll_tasks.clear()
 
-    # Inside.
-
-    def _poll(self) -> None:
+    def _run_scheduler(self) -> None:
         self._resolve(self.scheduler.poll(self._clock.monotonic()))
         self._metrics.set(
             "queued", float(self.scheduler.n_waiting), model=self.pool.model
         )
-        self._arm()
+        self._set_timer()
 
-    def _arm(self) -> None:
+    def _set_timer(self) -> None:
         if self._timer is not None:
             self._timer.cancel()
             self._timer = None
@@ -187,15 +187,15 @@
         if deadline is None:
             return
         loop = asyncio.get_running_loop()
-        wait = max(0.0, deadline - self._clock.monotonic())
-        self._timer = loop.call_later(wait, self._poll)
+        delay_seconds = max(0.0, deadline - self._clock.monotonic())
+        self._timer = loop.call_later(delay_seconds, self._run_scheduler)
 
     def _resolve(self, decisions: Sequence[Decision]) -> None:
         for decision in decisions:
-            fut = self._asked.get(decision.request_id)
+            fut = self._pending.get(decision.request_id)
             if fut is None or fut.done():
                 if isinstance(decision, Granted):
-                    # Nobody waits for it any more; its place must not stay taken.
+                    # Nobody awaits the grant any more, so its place is freed.
                     now = self._clock.monotonic()
                     self.scheduler.finish(decision.grant.grant_id, 0, "cancelled", now)
                 continue
@@ -204,74 +204,77 @@
             else:
                 fut.set_result(AdmitAnswer(refusal=decision.not_run))
 
-    async def _watch(self, spec: EngineSpec) -> None:
-        """Poll one engine for as long as it is in the pool."""
+    async def _poll_engine(self, spec: EngineSpec) -> None:
+        """Poll one engine as long as it is in the pool."""
         address = Address.parse(spec.address)
         next_event = 0
         n_polls = 0
-        await asyncio.sleep(self._rng.uniform(0, POLL_SECONDS / 4))
+        await asyncio.sleep(self._rng.uniform(0, POLL_INTERVAL_SECONDS / 4))
         while True:
             try:
-                await self._ask_load(spec, address)
-                if n_polls % CACHE_EVERY == 0:
-                    next_event = await self._cache_events(spec, address, next_event)
+                await self._fetch_load(spec, address)
+                if n_polls % POLLS_PER_CACHE_QUERY == 0:
+                    next_event = await self._fetch_cache_events(
+                        spec, address, next_event
+                    )
             except Exception as exc:
-                # Were a fault to end this task, the engine would look silent and get
-                # no work until the home moves, with nothing to show why.
+                # If an exception ended this task, the engine would count as silent and
+                # get no work until the home moves, with no sign of the reason.
                 log_message("homes:poll_failed", engine=spec.name, problem=repr(exc))
             n_polls += 1
-            await asyncio.sleep(POLL_SECONDS * self._rng.uniform(0.9, 1.1))
+            await asyncio.sleep(POLL_INTERVAL_SECONDS * self._rng.uniform(0.9, 1.1))
 
-    async def _ask_load(self, spec: EngineSpec, address: Address) -> None:
-        deadline = self._clock.monotonic() + LOAD_SECONDS
+    async def _fetch_load(self, spec: EngineSpec, address: Address) -> None:
+        deadline = self._clock.monotonic() + ENGINE_TIMEOUT_SECONDS
         match await self._client.load(address, deadline=deadline):
             case Ok(report):
-                self._take_report(spec, report)
+                self._on_report(spec, report)
             case Err(problem):
                 log_message("homes:no_report", engine=spec.name, reason=problem.reason)
 
-    def _take_report(self, spec: EngineSpec, report: EngineReport) -> None:
+    def _on_report(self, spec: EngineSpec, report: EngineReport) -> None:
         if report.engine != spec.name:
             self._metrics.count("bad_input", peer="engine", problem="other_engine")
             return
-        ages = self._ages.setdefault(spec.name, ReportAges())
-        age = min(ages.note(report, self._clock.wall()), MAX_REPORT_AGE)
+        ages = self._report_ages.setdefault(spec.name, ReportAges())
+        age = min(ages.record(report, self._clock.wall()), MAX_REPORT_AGE_SECONDS)
         self.scheduler.report(report, self._clock.monotonic(), age=age)
         self._metrics.set(
             "engine_used_tokens", float(report.n_used_tokens), engine=spec.name
         )
         self._count_preemptions(report)
-        self._note_leaving(spec.name, report.leaving_at)
-        self._poll()
+        self._update_leaving(spec.name, report.leaving_at)
+        self._run_scheduler()
 
     def _count_preemptions(self, report: EngineReport) -> None:
-        """Count what was preempted since the engine's last report of this life."""
-        known = self._n_preemptions.get(report.engine)
+        """Count the preemptions since the last report of the engine's incarnation."""
+        previous = self._n_preemptions.get(report.engine)
         self._n_preemptions[report.engine] = (
             report.incarnation,
             report.n_preemptions,
         )
-        if known is None or known[0] != report.incarnation:
-            # A new home has not seen the earlier ones happen; they were counted.
+        if previous is None or previous[0] != report.incarnation:
+            # The first report of an incarnation includes earlier preemptions, which
+            # the former home has counted.
             return
-        n_new = report.n_preemptions - known[1]
+        n_new = report.n_preemptions - previous[1]
         if n_new > 0:
             self._metrics.count("preemptions", n_new, engine=report.engine)
 
-    def _note_leaving(self, engine: str, at: float | None) -> None:
-        if at is not None:
-            self._leaving.add(engine)
-            self._tell_leaving(engine, at)
-        elif engine in self._leaving:
-            # An engine that says it stays after all, or a new one under the name,
-            # would otherwise get no work until this node restarts.
-            self._leaving.discard(engine)
-            self._tell_leaving(engine, None)
+    def _update_leaving(self, engine: str, leaving_at: float | None) -> None:
+        if leaving_at is not None:
+            self._leaving_engines.add(engine)
+            self._on_leaving_change(engine, leaving_at)
+        elif engine in self._leaving_engines:
+            # Otherwise an engine that cancels its leaving, or a new engine of the same
+            # name, would get no work until this node restarts.
+            self._leaving_engines.discard(engine)
+            self._on_leaving_change(engine, None)
 
-    async def _cache_events(
+    async def _fetch_cache_events(
         self, spec: EngineSpec, address: Address, after: int
     ) -> int:
-        deadline = self._clock.monotonic() + LOAD_SECONDS
+        deadline = self._clock.monotonic() + ENGINE_TIMEOUT_SECONDS
         answer = await self._client.cache_events(address, after, deadline=deadline)
         if isinstance(answer, Err):
             return after
--- a/celerytrail/nodes/reportages.py
+++ b/celerytrail/nodes/reportages.py
@@ -1,4 +1,4 @@
-"""How old an engine's reports are, though its clock and ours need not agree."""
+"""Age of an engine's reports, independent of the offset between the clocks."""
 
 from __future__ import annotations
 
@@ -6,37 +6,37 @@
 
 from ..policies.reports import EngineReport
 
-N_REMEMBERED = 8
+N_KEPT_REPORTS = 8
 
 
 class ReportAges:
-    """Tells the age of one engine's reports from the differences alone.
+    """Estimates the age of one engine's reports from differences of clock readings.
 
-    A node whose clock was off by an hour would take each report for an hour old, hold
-    every engine of its pools for silent and let no request in. So the age is what a
-    report lags behind the freshest of the last few, and the constant difference of the
-    two clocks falls out; after a jump of either clock it does so again within
-    `N_REMEMBERED` reports.
+    A node whose clock is off by an hour would otherwise take each report as an hour
+    old, treat every engine of its pools as silent and admit no request. The age is
+    therefore the delay of a report relative to the freshest of the last few, so that
+    the offset between the two clocks cancels out. After a jump of either clock, the
+    ages are right again within `N_KEPT_REPORTS` reports.
     """
 
     def __init__(self) -> None:
-        self._differences: deque[float] = deque(maxlen=N_REMEMBERED)
-        self._newest: tuple[str, int] = ("", -1)
+        self._differences: deque[float] = deque(maxlen=N_KEPT_REPORTS)
+        self._newest_report: tuple[str, int] = ("", -1)
 
-    def note(self, report: EngineReport, wall: float) -> float:
-        """Return a report's age in seconds.
+    def record(self, report: EngineReport, wall: float) -> float:
+        """Record a report and return its age in seconds.
 
         Parameters
         ----------
         report : EngineReport
-            As it came.
+            The report as received.
         wall : float
-            Our wall time, in seconds since the epoch.
+            Wall time of this node, in seconds since the epoch.
         """
         difference = wall - report.at
-        newest = (report.incarnation, report.sequence)
-        if newest != self._newest:
-            # An engine stuck on one report must grow older, so only new ones count.
-            self._newest = newest
+        report_key = (report.incarnation, report.sequence)
+        if report_key != self._newest_report:
+            # A repeated report must age, as its engine hangs, so only new ones count.
+            self._newest_report = report_key
             self._differences.append(difference)
         return max(0.0, difference - min(self._differences))
--- a/tests/homesrig.py
+++ b/tests/homesrig.py
@@ -29,7 +29,7 @@
 from scenarios.memorynetwork import Wires
 
 POOL = "llm/r/0"
-N_MEMORY = 8_000
+N_MEMORY_TOKENS = 8_000
 
 
 def engine_spec(number: int) -> EngineSpec:
@@ -47,7 +47,7 @@
 
     def __init__(self, clock):
         self.clock = clock
-        self.used = {}
+        self.used_tokens = {}
         self.running = {}
         self.leaving = {}
         self.silent = set()
@@ -65,8 +65,8 @@
                 incarnation="i",
                 sequence=self.sequence,
                 at=self.clock.wall(),
-                n_memory_tokens=N_MEMORY,
-                n_used_tokens=self.used.get(name, 0),
+                n_memory_tokens=N_MEMORY_TOKENS,
+                n_used_tokens=self.used_tokens.get(name, 0),
                 model="llm",
                 running=tuple(self.running.get(name, ())),
                 leaving_at=self.leaving.get(name),
@@ -83,24 +83,24 @@
     def __init__(self, me, members):
         self.me = me
         self._members = members
-        self.gone = set()
+        self.lost = set()
         self._callbacks = []
 
     def live(self, region=None):
         return tuple(
             m
             for m in self._members
-            if m.node not in self.gone and region in (None, m.region)
+            if m.node not in self.lost and region in (None, m.region)
         )
 
     def on_change(self, callback):
         self._callbacks.append(callback)
 
     def lose(self, *names):
-        self.gone.update(names)
-        self.tell()
+        self.lost.update(names)
+        self.notify_change()
 
-    def tell(self):
+    def notify_change(self):
         for callback in self._callbacks:
             callback()
 
@@ -112,7 +112,7 @@
         self.name = me.node
         self.nodes = FakeNodes(me, rig.members)
         self.leaving = set()
-        self.told = []
+        self.reported_leaving = []
         self.network = rig.wires.process(me.node)
         self.client = HttpClient(process=me.node, network=self.network)
         self.metrics = Metrics(process=me.node)
@@ -128,7 +128,7 @@
         self.homes = Homes(
             configuration=rig.configuration,
             client=rig.engines,
-            tell_leaving=lambda engine, at: self.told.append(engine),
+            tell_leaving=lambda engine, at: self.reported_leaving.append(engine),
             **shared,
         )
         self.lengths = LearnedLengths()
@@ -196,9 +196,9 @@
     def scheduler(self, peer):
         return peer.homes._homes[POOL].scheduler
 
-    def fill(self):
+    def fill_engines(self):
         for number in (1, 2):
-            self.engines.used[f"engine-{number}"] = N_MEMORY
+            self.engines.used_tokens[f"engine-{number}"] = N_MEMORY_TOKENS
 
 
 def with_rig(test):
--- a/tests/test_homes.py
+++ b/tests/test_homes.py
@@ -7,7 +7,7 @@
 
 import pytest
 from homesrig import (
-    N_MEMORY,
+    N_MEMORY_TOKENS,
     POOL,
     FakeNodes,
     engine_spec,
@@ -87,7 +87,7 @@
         """All engines are full. The caller is told so when its time in the queue is
         over, and when to come back, not later.
         """
-        rig.fill()
+        rig.fill_engines()
         await asyncio.sleep(1.0)
         started_at = rig.clock.monotonic()
         answer = await rig.entry.admitter.admit(rig.request(seconds=2.0))
@@ -112,14 +112,14 @@
         """The home dies with the request in its queue. The entry node asks the next
         in rank under the same id, and the caller only waits a little longer.
         """
-        rig.fill()
+        rig.fill_engines()
         await asyncio.sleep(1.0)
         task = asyncio.create_task(rig.entry.admitter.admit(rig.request()))
         await asyncio.sleep(0.5)
         rig.wires.kill(rig.first.name)
         for peer in (rig.entry, rig.second):
             peer.nodes.lose(rig.first.name)
-        rig.engines.used.clear()
+        rig.engines.used_tokens.clear()
         answer = await task
         assert answer.ok_value.home == rig.second.name
 
@@ -128,13 +128,13 @@
         """The home freezes and closes no connection. Were it waited for, the request
         would be refused at its deadline with engines standing free.
         """
-        rig.fill()
+        rig.fill_engines()
         await asyncio.sleep(1.0)
         started_at = rig.clock.monotonic()
         task = asyncio.create_task(rig.entry.admitter.admit(rig.request()))
         await asyncio.sleep(0.5)
         rig.wires.freeze(rig.first.name)
-        rig.engines.used.clear()
+        rig.engines.used_tokens.clear()
         rig.entry.nodes.lose(rig.first.name)
         answer = await task
         assert answer.ok_value.home == rig.second.name
@@ -158,7 +158,7 @@
         rig.wires.kill(rig.first.name)
         rig.wires.kill(rig.second.name)
         own = rig.entry.homes
-        own.admitting = lambda pool: None
+        own.home_for = lambda pool: None
         answer = await rig.entry.admitter.admit(rig.request())
         assert answer.ok_value.home == ""
         assert answer.ok_value.engine in ("engine-1", "engine-2")
@@ -217,7 +217,7 @@
         """The home is stopped gracefully with requests in its queue. They move to the
         next home at once and none of them is refused.
         """
-        rig.fill()
+        rig.fill_engines()
         await asyncio.sleep(1.0)
         task = asyncio.create_task(rig.entry.admitter.admit(rig.request()))
         await asyncio.sleep(0.5)
@@ -226,7 +226,7 @@
             peer.nodes.lose(rig.first.name)
         await asyncio.sleep(0.1)
         assert rig.scheduler(rig.first).n_waiting == 0
-        rig.engines.used.clear()
+        rig.engines.used_tokens.clear()
         assert (await task).ok_value.home == rig.second.name
 
     @with_rig
@@ -245,11 +245,13 @@
             if isinstance(answer, Ok):
                 n_granted += 1
                 engine = answer.ok_value.engine
-                rig.engines.used[engine] = rig.engines.used.get(engine, 0) + 450
+                rig.engines.used_tokens[engine] = (
+                    rig.engines.used_tokens.get(engine, 0) + 450
+                )
                 running = rig.engines.running.setdefault(engine, [])
                 running.append((answer.ok_value.grant_id, 50))
             await asyncio.sleep(0.05)
-        assert max(rig.engines.used.values()) <= 1.2 * N_MEMORY
+        assert max(rig.engines.used_tokens.values()) <= 1.2 * N_MEMORY_TOKENS
         assert n_granted >= 20
 
 
@@ -262,8 +264,8 @@
         """
         bodies = []
         home = rig.first.homes._homes[POOL]
-        take = home.take
-        home.take = lambda body: bodies.append(body) or take(body)
+        apply_batch = home.apply_batch
+        home.apply_batch = lambda body: bodies.append(body) or apply_batch(body)
         answer = await rig.entry.admitter.admit(rig.request(n_max_tokens=1_000))
         for n_tokens in range(1, 440):
             rig.entry.admitter.progress(answer.ok_value, n_tokens)
@@ -281,7 +283,7 @@
         """A caller gives up while it waits. Its place in the queue goes, or engines
         would be granted to people who have left.
         """
-        rig.fill()
+        rig.fill_engines()
         await asyncio.sleep(1.0)
         task = asyncio.create_task(rig.entry.admitter.admit(rig.request()))
         await asyncio.sleep(0.5)
@@ -295,7 +297,7 @@
         """The caller gives up while the link to the home stalls, so the home sees no
         close. When the link is back it is told by the next batch.
         """
-        rig.fill()
+        rig.fill_engines()
         await asyncio.sleep(1.0)
         task = asyncio.create_task(rig.entry.admitter.admit(rig.request()))
         await asyncio.sleep(0.5)
@@ -326,7 +328,7 @@
         """The node that holds the caller dies. Nobody tells the home, which must not
         keep the place in its queue for a caller that is gone.
         """
-        rig.fill()
+        rig.fill_engines()
         await asyncio.sleep(1.0)
         task = asyncio.create_task(rig.entry.admitter.admit(rig.request()))
         await asyncio.sleep(0.5)
@@ -355,7 +357,7 @@
     async def test_home_hears_it_from_the_engine(self, rig):
         rig.engines.leaving["engine-2"] = rig.clock.wall() + 60.0
         await asyncio.sleep(1.5)
-        assert "engine-2" in rig.first.told
+        assert "engine-2" in rig.first.reported_leaving
         for number in range(6):
             answer = await rig.entry.admitter.admit(rig.request(f"q{number}"))
             assert answer.ok_value.engine == "engine-1"
--- a/tests/test_limitedadmitter.py
+++ b/tests/test_limitedadmitter.py
@@ -28,7 +28,7 @@
     def settle(self, organisation, n_tokens):
         self.n_tokens += n_tokens
 
-    def is_over(self, deadline):
+    def has_passed(self, deadline):
         return True
 
     def release(self, organisation):
--- a/tests/test_peer_limits.py
+++ b/tests/test_peer_limits.py
@@ -19,7 +19,7 @@
 from celerytrail.http.routes import Router
 from celerytrail.http.server import HttpServer
 from celerytrail.metrics import Metrics
-from celerytrail.nodes.limit_homes import LimitHomes, _group
+from celerytrail.nodes.limit_homes import LimitHomes, _group_of
 from celerytrail.nodes.limited import LimitedAdmitter
 from celerytrail.nodes.member import Member
 from celerytrail.nodes.rendezvous import rank
@@ -35,19 +35,19 @@
 class FakeNodes:
     """All nodes, less those that were lost."""
 
-    def __init__(self, me, members, gone):
+    def __init__(self, me, members, lost):
         self.me = me
         self._members = members
-        self._gone = gone
+        self._lost = lost
         self._callbacks = []
 
     def live(self, region=None):
-        return tuple(m for m in self._members if m.node not in self._gone)
+        return tuple(m for m in self._members if m.node not in self._lost)
 
     def on_change(self, callback):
         self._callbacks.append(callback)
 
-    def tell(self):
+    def notify_change(self):
         for callback in self._callbacks:
             callback()
 
@@ -58,7 +58,7 @@
     def __init__(self):
         self.clock = LoopClock()
         self.wires = Wires(rng=random.Random(1))
-        self.gone = set()
+        self.lost = set()
         organisation = OrganisationSpec(
             name="org",
             n_tokens_per_second=N_TOKENS_PER_SECOND,
@@ -79,7 +79,7 @@
         self.limits, self.servers, self.views = {}, {}, []
         for me in members:
             network = self.wires.process(me.node)
-            self.views.append(FakeNodes(me, members, self.gone))
+            self.views.append(FakeNodes(me, members, self.lost))
             limits = LimitHomes(
                 nodes=self.views[-1],
                 configuration=configuration,
@@ -92,7 +92,7 @@
             limits.add_routes(router)
             self.limits[me.node] = limits
             self.servers[me] = HttpServer(handler=router, network=network)
-        self.order = rank(_group("org"), self.limits)
+        self.order = rank(_group_of("org"), self.limits)
 
     async def start(self):
         for me, server in self.servers.items():
@@ -104,17 +104,17 @@
             await self.limits[me.node].stop()
             await server.close()
 
-    def hold(self, *names):
+    def set_lost(self, *names):
         """Let all nodes hold just these for gone."""
-        self.gone.clear()
-        self.gone.update(names)
+        self.lost.clear()
+        self.lost.update(names)
         for view in self.views:
-            view.tell()
+            view.notify_change()
 
-    def open_places(self, name):
+    def try_admit(self, name):
         return self.limits[name].admit("org", 1) is None
 
-    async def demand(self, names, seconds):
+    async def saturate(self, names, seconds):
         """Ask for much more than is allowed; returns the tokens let through."""
         n_tokens = 0
         for _ in range(round(seconds / 0.05)):
@@ -134,8 +134,8 @@
         """
         rig = Rig()
         await rig.start()
-        await rig.demand(rig.order, 10.0)
-        n_tokens = await rig.demand(rig.order, 20.0)
+        await rig.saturate(rig.order, 10.0)
+        n_tokens = await rig.saturate(rig.order, 20.0)
         assert n_tokens <= 1.15 * 20.0 * N_TOKENS_PER_SECOND
         await rig.stop()
 
@@ -145,8 +145,8 @@
         """
         rig = Rig()
         await rig.start()
-        await rig.demand(rig.order[2:], 10.0)
-        n_tokens = await rig.demand(rig.order[2:], 20.0)
+        await rig.saturate(rig.order[2:], 10.0)
+        n_tokens = await rig.saturate(rig.order[2:], 20.0)
         assert n_tokens > 0.5 * 20.0 * N_TOKENS_PER_SECOND
         await rig.stop()
 
@@ -169,14 +169,14 @@
         rig = Rig()
         await rig.start()
         home, *others = rig.order
-        await rig.demand(others, 5.0)
+        await rig.saturate(others, 5.0)
         rig.wires.kill(home)
-        await rig.demand(others, 5.0)
-        n_tokens = await rig.demand(others, 10.0)
+        await rig.saturate(others, 5.0)
+        n_tokens = await rig.saturate(others, 10.0)
         assert 0 < n_tokens <= 1.15 * 10.0 * N_TOKENS_PER_SECOND
-        rig.hold(home)
-        await rig.demand(others, 5.0)
-        n_tokens = await rig.demand(others, 20.0)
+        rig.set_lost(home)
+        await rig.saturate(others, 5.0)
+        n_tokens = await rig.saturate(others, 20.0)
         assert n_tokens <= 1.15 * 20.0 * N_TOKENS_PER_SECOND
         assert n_tokens > 0.5 * 20.0 * N_TOKENS_PER_SECOND
         await rig.stop()
@@ -190,17 +190,17 @@
         await rig.start()
         home, second, third = rig.order
         await asyncio.sleep(11.0)
-        rig.hold(home)
+        rig.set_lost(home)
         n_open = 0
         while n_open < N_CONCURRENT - 2:
             await asyncio.sleep(0.5)
-            n_open += rig.open_places(second)
+            n_open += rig.try_admit(second)
         await asyncio.sleep(4.0)
-        rig.hold()
+        rig.set_lost()
         n_more = 0
         for _ in range(12):
             await asyncio.sleep(0.1)
-            n_more += rig.open_places(third)
+            n_more += rig.try_admit(third)
         assert n_more <= N_CONCURRENT // 3
         await rig.stop()
 
