--- a/celerytrail/nodes/__init__.py
+++ b/celerytrail/nodes/__init__.py
@@ -1,1 +1,1 @@
-"""Talk to the other nodes: membership, gossip, reservations."""
+"""Communication with the other nodes: membership, gossip, pool homes and limits."""
--- a/celerytrail/nodes/homewire.py
+++ b/celerytrail/nodes/homewire.py
@@ -1,4 +1,4 @@
-"""What entry nodes and pool homes say to each other, in JSON over HTTP."""
+"""Messages between entry nodes and pool homes, in JSON over HTTP."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class AdmitBody:
-    """An entry node asks a home to let a generation in.
+    """A request of an entry node to a home to admit a generation.
 
     Parameters
     ----------
@@ -23,11 +23,12 @@
     sender : str
         The entry node.
     req : AdmitRequest
-        What is asked; its ``queue_deadline`` means nothing at the home.
+        The request; its ``queue_deadline`` is monotonic time of the entry node and has
+        no meaning at the home.
     sent_at, queue_deadline_at : float
-        Wall times of the entry node. The home takes their difference: were the second
-        held against its own wall clock, one VM whose clock is half a minute ahead
-        would refuse every request as late.
+        Wall times of the entry node. The home uses their difference only. If it
+        compared the second with its own wall clock, a VM whose clock is half a minute
+        ahead would refuse every request as late.
     """
 
     pool: str
@@ -39,7 +40,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class AdmitAnswer:
-    """A home's answer: a grant, a refusal, or that it isn't the home (neither)."""
+    """A home's answer: a grant, a refusal, or neither where it isn't the home."""
 
     grant: Grant | None = None
     refusal: NotRun | None = None
@@ -47,7 +48,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Ended:
-    """A generation that has ended."""
+    """A generation that has ended, with its total of tokens."""
 
     grant_id: str
     n_tokens: int
@@ -56,7 +57,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Adopted:
-    """A running generation that the home doesn't know yet."""
+    """A running generation, sent in full because the home doesn't know it yet."""
 
     grant: Grant
     req: AdmitRequest
@@ -65,20 +66,20 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class ProgressBody:
-    """What became of an entry node's generations since its last batch.
+    """A batch: the changes of an entry node's generations since its last batch.
 
     Parameters
     ----------
     pool, sender : str
         The pool's key and the entry node.
     progress : tuple of (str, int)
-        Grant ids and all tokens produced so far.
+        Grant ids and the total of tokens produced so far.
     ended : tuple of Ended
         Generations that ended.
     cancelled : tuple of str
-        Request ids that are no longer asked for.
+        Ids of requests that were cancelled.
     adopted : tuple of Adopted
-        What an earlier answer said the home doesn't know.
+        Generations that an earlier answer listed as unknown.
     wants_reports : bool
         Whether to answer with the engines' last reports.
     """
@@ -99,13 +100,14 @@
     Parameters
     ----------
     is_home : bool
-        Whether the node took the batch as the pool's home.
+        Whether the node applied the batch as the pool's home.
     unknown : tuple of str
-        Grant ids to send as adopted.
+        Ids of grants that the home doesn't know; to be sent as ``adopted``.
     reports : tuple of EngineReport
-        Where they were asked for; without the lists of what runs.
+        The engines' last reports where ``wants_reports`` was set, with ``running``
+        left empty.
     ages : tuple of float
-        Seconds since each report was true.
+        Age of each report in seconds.
     """
 
     is_home: bool
--- a/celerytrail/nodes/mismatches.py
+++ b/celerytrail/nodes/mismatches.py
@@ -1,4 +1,4 @@
-"""How long this node's digest and each peer's have stood apart."""
+"""How long this node's digest and each peer's have differed without a change."""
 
 from __future__ import annotations
 
@@ -6,32 +6,32 @@
 
 
 class Mismatches:
-    """Differing digests by peer, and since when neither of the two has changed.
+    """Holds differing digests by peer, and since when neither of the two has changed.
 
-    While news is on its way digests differ and change; only a pair that stands still
-    shows that something was missed.
+    While updates propagate, digests differ and change. Only a pair that stays the same
+    shows that an update was missed.
     """
 
     def __init__(self) -> None:
-        self._since: dict[str, tuple[int, int, float]] = {}
+        self._unchanged_since: dict[str, tuple[int, int, float]] = {}
 
-    def lasted(self, peer: str, own: int, other: int, now: float) -> float:
-        """Return for how many seconds this pair of digests has stood apart."""
-        if own == other:
-            self._since.pop(peer, None)
+    def lasted(self, peer: str, own_digest: int, peer_digest: int, now: float) -> float:
+        """Record a pair of digests and return for how many seconds it has differed."""
+        if own_digest == peer_digest:
+            self._unchanged_since.pop(peer, None)
             return 0.0
-        former = self._since.get(peer)
-        if former is None or former[:2] != (own, other):
-            self._since[peer] = (own, other, now)
+        former = self._unchanged_since.get(peer)
+        if former is None or former[:2] != (own_digest, peer_digest):
+            self._unchanged_since[peer] = (own_digest, peer_digest, now)
             return 0.0
         return now - former[2]
 
     def forget(self, peer: str) -> None:
-        """Begin anew with a peer."""
-        self._since.pop(peer, None)
+        """Restart the time of a peer."""
+        self._unchanged_since.pop(peer, None)
 
     def keep(self, peers: Container[str]) -> None:
-        """Forget all but these peers."""
-        self._since = {
-            peer: pair for peer, pair in self._since.items() if peer in peers
+        """Drop all peers but these."""
+        self._unchanged_since = {
+            peer: pair for peer, pair in self._unchanged_since.items() if peer in peers
         }
--- a/celerytrail/nodes/relays.py
+++ b/celerytrail/nodes/relays.py
@@ -1,4 +1,4 @@
-"""Pings that this node makes for others, who could not reach the target."""
+"""Indirect probes: pings sent for other nodes that could not reach the target."""
 
 from __future__ import annotations
 
@@ -6,25 +6,25 @@
 
 from ..types import Address
 
-# A relayed ping that is not answered is forgotten after this, in seconds.
+# A relayed ping without an acknowledgement is dropped after this time.
 RELAY_SECONDS = 2.0
 MAX_RELAYED = 1_000
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Relayed:
-    """One ping made for another node.
+    """A ping sent for another node.
 
     Parameters
     ----------
     address : Address
-        Where the other node waits for the acknowledgement.
+        Where to forward the acknowledgement.
     node : str
-        Its name.
+        The other node's name.
     sequence : int
-        The number by which it knows its own ping.
+        The sequence number of the other node's own ping.
     forget_at : float
-        Monotonic time.
+        Monotonic time at which it is dropped.
     """
 
     address: Address
@@ -34,26 +34,26 @@
 
 
 class Relays:
-    """The relayed pings that are not yet answered, by this node's own numbers."""
+    """Holds the unacknowledged relayed pings by this node's own sequence numbers."""
 
     def __init__(self) -> None:
-        self._waiting: dict[int, Relayed] = {}
+        self._pending: dict[int, Relayed] = {}
 
     @property
     def is_full(self) -> bool:
-        """Return whether no more can be taken on."""
-        return len(self._waiting) >= MAX_RELAYED
+        """Return whether no further ping can be relayed."""
+        return len(self._pending) >= MAX_RELAYED
 
     def put(self, sequence: int, relayed: Relayed) -> None:
-        """Remember for whom a ping is made."""
-        self._waiting[sequence] = relayed
+        """Store the relayed ping of a sequence number."""
+        self._pending[sequence] = relayed
 
     def take(self, sequence: int) -> Relayed | None:
-        """Return for whom an acknowledged ping was made, once."""
-        return self._waiting.pop(sequence, None)
+        """Remove and return an acknowledged ping, None where there is none."""
+        return self._pending.pop(sequence, None)
 
     def forget(self, now: float) -> None:
-        """Forget the pings that nobody acknowledged."""
-        for sequence, relayed in list(self._waiting.items()):
+        """Drop the pings that were not acknowledged in time."""
+        for sequence, relayed in list(self._pending.items()):
             if now >= relayed.forget_at:
-                del self._waiting[sequence]
+                del self._pending[sequence]
--- a/celerytrail/nodes/rings.py
+++ b/celerytrail/nodes/rings.py
@@ -1,4 +1,4 @@
-"""Who watches whom: each node watches its successor in each of several rings."""
+"""Choice of probe targets: each node probes its successor in each of several rings."""
 
 from __future__ import annotations
 
@@ -8,23 +8,22 @@
 from .member import Member, State
 
 N_RINGS = 3
-# While members of a ring are suspected, the ones after them are watched as well; the
-# bound keeps a node that is itself cut off from probing everyone at once.
-MAX_WATCHED_PER_RING = 4
+# While members of a ring are suspected, their successors are probed as well. The bound
+# keeps a node that is itself partitioned from probing all members at once.
+MAX_TARGETS_PER_RING = 4
 
 
 class Rings:
-    """Members in the order of hashes of their names, one order for each ring.
+    """Orders members by hashes of their names, with one order for each ring.
 
-    Every member is then watched by up to `N_RINGS` others, always the same ones, so
-    that the time until somebody probes a dead one is bounded by the probe period. With
-    targets drawn at random it has a long tail: after k periods nobody has probed it
-    with probability e^-k.
+    Every member is probed by up to `N_RINGS` fixed others, so the time until a dead
+    member is probed is bounded by the probe period. With random targets it has a long
+    tail: the probability that no node has probed it after k periods is e^-k.
 
     Parameters
     ----------
     node : str
-        The node that watches.
+        The node that sends the probes.
     """
 
     def __init__(self, *, node: str) -> None:
@@ -33,7 +32,7 @@
         self._own = _ring_keys(node)
 
     def watched(self, members: Iterable[Member]) -> list[str]:
-        """Return the names of the members that this node has to watch."""
+        """Return the names of the members that this node has to probe."""
         others = {
             member.node: member
             for member in members
@@ -44,27 +43,27 @@
         for name in others:
             if name not in self._keys:
                 self._keys[name] = _ring_keys(name)
-        found: list[str] = []
+        targets: list[str] = []
         for ring in range(N_RINGS):
-            found += self._watched_in(ring, others, found)
-        return found
+            targets += self._targets_in_ring(ring, others, targets)
+        return targets
 
-    def _watched_in(
-        self, ring: int, others: dict[str, Member], found: list[str]
+    def _targets_in_ring(
+        self, ring: int, others: dict[str, Member], targets: list[str]
     ) -> list[str]:
         own = self._own[ring]
         ordered = sorted(
             others, key=lambda name: (self._keys[name][ring] - own) % 2**64
         )
-        watched = []
+        ring_targets = []
         for name in ordered:
-            if name in found:
+            if name in targets:
                 continue
-            watched.append(name)
+            ring_targets.append(name)
             is_suspect = others[name].state is State.SUSPECT
-            if not is_suspect or len(watched) >= MAX_WATCHED_PER_RING:
+            if not is_suspect or len(ring_targets) >= MAX_TARGETS_PER_RING:
                 break
-        return watched
+        return ring_targets
 
 
 def _ring_keys(name: str) -> tuple[int, ...]:
