--- a/tests/homesrig.py
+++ b/tests/homesrig.py
@@ -1,4 +1,4 @@
-"""Nodes with homes on a network in memory, for the tests of homes."""
+"""Nodes with pool homes on an in-memory network, for the tests of homes."""
 
 from __future__ import annotations
 
@@ -43,7 +43,7 @@
 
 
 class FakeEngines:
-    """Engines' load reports, in place of the client that fetches them."""
+    """Returns engines' load reports in place of the client that fetches them."""
 
     def __init__(self, clock):
         self.clock = clock
@@ -78,7 +78,7 @@
 
 
 class FakeNodes:
-    """One node's view of who lives."""
+    """One node's view of the live nodes."""
 
     def __init__(self, me, members):
         self.me = me
@@ -106,7 +106,7 @@
 
 
 class Peer:
-    """One node with its homes and its admitter."""
+    """Runs one node with its homes and its admitter."""
 
     def __init__(self, rig, me):
         self.name = me.node
@@ -159,7 +159,7 @@
 
 
 class Rig:
-    """Three nodes, two engines."""
+    """Holds three nodes and two engines; one node is the home, one the entry node."""
 
     def __init__(self):
         self.clock = LoopClock()
@@ -202,10 +202,10 @@
 
 
 def with_rig(test):
-    """Give a test a started rig.
+    """Run a test with a started rig.
 
-    A fixture won't do: under looptime it runs before the virtual time begins, so the
-    timers that it started would never come.
+    This is no fixture because looptime runs fixtures before virtual time begins, so the
+    timers that one started would never fire.
     """
 
     async def wrapper(self):
--- a/tests/test_homes.py
+++ b/tests/test_homes.py
@@ -1,4 +1,4 @@
-"""Pool homes and the admitter that asks them, over a network in memory."""
+"""Pool homes and the admitter that asks them, over an in-memory network."""
 
 from __future__ import annotations
 
@@ -25,10 +25,10 @@
 from celerytrail.types import Address
 
 
-class TestHomes:
-    def test_kept_homes_are_those_of_the_whole_ranking_as_nodes_come_and_go(self):
-        """Homes are mended for the nodes that changed. A home that another node also
-        takes for its own has its engine asked twice, one that none takes not at all.
+class TestRendezvousHomes:
+    def test_incremental_homes_equal_full_ranking(self):
+        """Incremental updates of homes equal a full ranking. An engine with two homes
+        would be polled twice, and one without a home not at all.
         """
         rng = random.Random(5)
         homes, keys = Homes(), [f"e{number}" for number in range(40)]
@@ -50,8 +50,8 @@
         assert all(len(pool.engines) <= MAX_POOL_ENGINES for pool in pools.values())
 
     def test_lost_node_moves_only_its_own_keys(self):
-        """A node dies. Were other pools moved too, each death would make many homes
-        learn their engines anew at once.
+        """If the loss of a node moved the pools of other nodes too, many homes would
+        have to learn their engines anew at once.
         """
         names = [f"n{number}" for number in range(20)]
         for number in range(200):
@@ -72,8 +72,8 @@
 
     @with_rig
     async def test_entry_node_learns_lengths_from_what_homes_granted(self, rig):
-        """All homes are lost and an entry node chooses alone. Without lengths learned
-        while homes granted, it would take every draft for one of usual length.
+        """An entry node that chooses without a home needs lengths learned while homes
+        granted. Otherwise it would assume the default length for every generation.
         """
         before = rig.entry.lengths.expected_residual("llm", "org", 0)
         for number in range(400):
@@ -84,8 +84,8 @@
 
     @with_rig
     async def test_refused_at_the_queue_deadline(self, rig):
-        """All engines are full. The caller is told so when its time in the queue is
-        over, and when to come back, not later.
+        """With all engines full, the caller gets a refusal with a retry time at its
+        queue deadline and not later.
         """
         rig.fill_engines()
         await asyncio.sleep(1.0)
@@ -95,9 +95,9 @@
         assert rig.clock.monotonic() - started_at < 2.3
 
     @with_rig
-    async def test_clock_of_the_home_is_ahead(self, rig):
-        """One VM's clock is an hour wrong. Were deadlines held against it, its home
-        would refuse every request as late.
+    async def test_home_clock_is_an_hour_ahead(self, rig):
+        """One VM's clock is an hour ahead. A home that compared deadlines with it would
+        refuse every request as late.
         """
         peer_clock = LoopClock(wall_offset=rig.clock.wall_offset + 3600.0)
         rig.first.homes._clock = peer_clock
@@ -109,8 +109,8 @@
 class TestLostHome:
     @with_rig
     async def test_killed_home(self, rig):
-        """The home dies with the request in its queue. The entry node asks the next
-        in rank under the same id, and the caller only waits a little longer.
+        """The home dies with a request in its queue. The entry node repeats the request
+        under the same id at the next in rank; the caller only waits a little longer.
         """
         rig.fill_engines()
         await asyncio.sleep(1.0)
@@ -125,8 +125,8 @@
 
     @with_rig
     async def test_frozen_home(self, rig):
-        """The home freezes and closes no connection. Were it waited for, the request
-        would be refused at its deadline with engines standing free.
+        """The home freezes and closes no connection. An entry node that waited for it
+        would refuse the request at its deadline while engines are free.
         """
         rig.fill_engines()
         await asyncio.sleep(1.0)
@@ -141,9 +141,9 @@
         assert rig.clock.monotonic() - started_at < 3.0
 
     @with_rig
-    async def test_entry_node_notices_before_the_second(self, rig):
-        """The entry node has lost the home, the second in rank still believes in it.
-        Were it to refuse, nobody would be home until all agree.
+    async def test_entry_node_detects_loss_before_second_home(self, rig):
+        """The entry node has lost the home, but the second in rank still sees it as
+        live. If the second refused, there would be no home until the views agree.
         """
         rig.wires.kill(rig.first.name)
         rig.entry.nodes.lose(rig.first.name)
@@ -151,9 +151,9 @@
         assert answer.ok_value.home == rig.second.name
 
     @with_rig
-    async def test_nobody_reachable(self, rig):
-        """The entry node is cut off from all others but not from the engines. It
-        chooses by itself rather than refuse.
+    async def test_no_home_is_reachable(self, rig):
+        """The entry node is partitioned from all other nodes but not from the engines.
+        It chooses an engine by itself instead of refusing.
         """
         rig.wires.kill(rig.first.name)
         rig.wires.kill(rig.second.name)
@@ -164,9 +164,9 @@
         assert answer.ok_value.engine in ("engine-1", "engine-2")
 
     @with_rig
-    async def test_new_home_learns_what_runs(self, rig):
-        """The home is replaced while a draft runs. Until the new one knows of it, it
-        would give the draft's memory away a second time.
+    async def test_new_home_adopts_running_generation(self, rig):
+        """The home is replaced while a generation runs. A new home that doesn't know of
+        the generation would grant its memory a second time.
         """
         answer = await rig.entry.admitter.admit(rig.request())
         grant = answer.ok_value
@@ -182,9 +182,9 @@
         assert rig.scheduler(rig.second).n_live == 0
 
     @with_rig
-    async def test_new_home_learns_of_a_draft_that_stands_still(self, rig):
-        """The home is replaced while a draft waits for memory and produces nothing.
-        Its memory is taken all the same, so the new home has to hear of it.
+    async def test_new_home_adopts_stalled_generation(self, rig):
+        """The home is replaced while a generation waits for memory and produces no
+        tokens. It still occupies memory, so the new home has to adopt it.
         """
         answer = await rig.entry.admitter.admit(rig.request())
         rig.entry.admitter.progress(answer.ok_value, 40)
@@ -196,9 +196,9 @@
         assert rig.scheduler(rig.second).n_live == 1
 
     @with_rig
-    async def test_end_that_the_home_did_not_hear(self, rig):
-        """A draft ends while the home refuses connections for a few seconds. The end is
-        told again; were it lost, its memory would stand empty for half a minute.
+    async def test_end_is_resent_after_home_was_unreachable(self, rig):
+        """A generation ends while the home refuses connections for a few seconds. If
+        the end weren't sent again, its memory would stay reserved for half a minute.
         """
         answer = await rig.entry.admitter.admit(rig.request())
         rig.wires.kill(rig.first.name)
@@ -213,15 +213,15 @@
         assert rig.scheduler(rig.first).n_live == 0
 
     @with_rig
-    async def test_home_that_leaves_sends_its_queue_on(self, rig):
-        """The home is stopped gracefully with requests in its queue. They move to the
-        next home at once and none of them is refused.
+    async def test_stopping_home_hands_over_its_queue(self, rig):
+        """The home stops gracefully with requests in its queue. They move to the next
+        home at once and none is refused.
         """
         rig.fill_engines()
         await asyncio.sleep(1.0)
         task = asyncio.create_task(rig.entry.admitter.admit(rig.request()))
         await asyncio.sleep(0.5)
-        # The entry node has not heard of it yet.
+        # The entry node doesn't know of the change yet.
         for peer in (rig.first, rig.second):
             peer.nodes.lose(rig.first.name)
         await asyncio.sleep(0.1)
@@ -230,9 +230,9 @@
         assert (await task).ok_value.home == rig.second.name
 
     @with_rig
-    async def test_two_homes_over_admit_a_little_only(self, rig):
-        """Entry nodes disagree on who is home, so two grant the same engines. Each
-        sees the other's generations in the engines' reports and counts them.
+    async def test_two_homes_overcommit_only_slightly(self, rig):
+        """Entry nodes disagree on the home, so two homes grant the same engines. Each
+        counts the other's generations from the engines' reports.
         """
         rig.entry.nodes.lose(rig.first.name)
         n_granted = 0
@@ -259,8 +259,8 @@
 class TestProgress:
     @with_rig
     async def test_progress_takes_few_messages(self, rig):
-        """A hundred streams run through a node. Were each told at every batch, their
-        progress alone would take more bytes than the node has for control.
+        """If the progress of each of a hundred streams were sent in every batch, it
+        would exceed the node's bandwidth budget for control traffic.
         """
         bodies = []
         home = rig.first.homes._homes[POOL]
@@ -279,9 +279,9 @@
 @pytest.mark.looptime
 class TestCancel:
     @with_rig
-    async def test_caller_leaves_the_queue(self, rig):
-        """A caller gives up while it waits. Its place in the queue goes, or engines
-        would be granted to people who have left.
+    async def test_caller_cancels_while_queued(self, rig):
+        """A caller cancels while it waits. Its request leaves the queue; otherwise
+        engines would be granted to callers that have disconnected.
         """
         rig.fill_engines()
         await asyncio.sleep(1.0)
@@ -293,9 +293,9 @@
         assert rig.scheduler(rig.first).n_waiting == 0
 
     @with_rig
-    async def test_caller_leaves_behind_a_stalled_link(self, rig):
-        """The caller gives up while the link to the home stalls, so the home sees no
-        close. When the link is back it is told by the next batch.
+    async def test_caller_cancels_while_link_is_stalled(self, rig):
+        """The caller cancels while the link to the home stalls, so the home sees no
+        closed connection. The next batch reports the cancellation.
         """
         rig.fill_engines()
         await asyncio.sleep(1.0)
@@ -309,9 +309,9 @@
         assert rig.scheduler(rig.first).n_waiting == 0
 
     @with_rig
-    async def test_caller_leaves_as_the_grant_comes(self, rig):
-        """The grant and the caller's leaving cross. Nobody would use the grant, and
-        its memory would stand empty for half a minute.
+    async def test_caller_cancels_as_grant_arrives(self, rig):
+        """The grant and the caller's cancellation cross. An unused grant would reserve
+        its memory for half a minute.
         """
         rig.wires.cut(rig.first.name, rig.entry.name)
         task = asyncio.create_task(rig.entry.admitter.admit(rig.request()))
@@ -325,8 +325,8 @@
 
     @with_rig
     async def test_entry_node_is_killed(self, rig):
-        """The node that holds the caller dies. Nobody tells the home, which must not
-        keep the place in its queue for a caller that is gone.
+        """The caller's entry node dies and sends no cancellation. The home must drop
+        the request from its queue nevertheless.
         """
         rig.fill_engines()
         await asyncio.sleep(1.0)
@@ -344,9 +344,9 @@
 @pytest.mark.looptime
 class TestLeavingEngine:
     @with_rig
-    async def test_home_has_not_heard_yet(self, rig):
-        """The entry node knows that an engine leaves, the home doesn't. The entry node
-        gives such a grant back and asks for another.
+    async def test_home_does_not_know_yet(self, rig):
+        """The entry node knows that an engine leaves, but the home doesn't. The entry
+        node returns a grant for that engine and requests another.
         """
         rig.entry.leaving.add("engine-1")
         for number in range(6):
@@ -354,7 +354,7 @@
             assert answer.ok_value.engine == "engine-2"
 
     @with_rig
-    async def test_home_hears_it_from_the_engine(self, rig):
+    async def test_home_learns_it_from_engine_report(self, rig):
         rig.engines.leaving["engine-2"] = rig.clock.wall() + 60.0
         await asyncio.sleep(1.5)
         assert "engine-2" in rig.first.reported_leaving
@@ -363,7 +363,7 @@
             assert answer.ok_value.engine == "engine-1"
 
     @with_rig
-    async def test_engine_that_reports_no_more(self, rig):
+    async def test_silent_engine_gets_no_work(self, rig):
         rig.engines.silent.add("engine-1")
         await asyncio.sleep(8.0)
         answer = await rig.entry.admitter.admit(rig.request())
@@ -374,8 +374,8 @@
 class TestBadInput:
     @with_rig
     async def test_forged_and_broken_requests(self, rig):
-        """Somebody without the key asks for grants, and a peer of another release
-        sends what can't be read. Both are refused by name and counted.
+        """A sender without the key requests grants, and a peer of another release sends
+        bodies that can't be decoded. Each is refused with its own status and counted.
         """
         address = rig.first.nodes.me.peer
         client = rig.entry.client
@@ -394,8 +394,8 @@
 
 
 class TestRanked:
-    def test_region_without_nodes_falls_to_all(self):
-        """All nodes of a region are down. Its engines go on under a home elsewhere."""
+    def test_region_without_nodes_ranks_all_nodes(self):
+        """With all nodes of a region down, its engines get a home in another region."""
         rig_members = [
             Member(
                 node="a",
--- a/tests/test_limitedadmitter.py
+++ b/tests/test_limitedadmitter.py
@@ -1,4 +1,4 @@
-"""Grants within the limits of organisations."""
+"""The admitter that enforces organisations' limits, with fake limits."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class FakeLimits:
-    """Counts places and tokens, and refuses beyond a number of places."""
+    """Counts places and tokens, and refuses requests when no place is left."""
 
     def __init__(self, n_places):
         self.n_places, self.n_tokens = n_places, 0
@@ -36,7 +36,7 @@
 
 
 class FakeAdmitter(Admitter):
-    """Answers with what it was told to, or waits for ever."""
+    """Returns the given answer, or waits for ever without one."""
 
     def __init__(self, answer=None):
         self.answer = answer
@@ -72,7 +72,7 @@
         assert refused.err_value.reason == "concurrency_limit"
 
     @pytest.mark.parametrize("n_tokens", [0, 3, 64, 65, 1_000])
-    async def test_in_the_end_exactly_what_was_produced_is_charged(self, n_tokens):
+    async def test_total_charge_is_exactly_the_produced_tokens(self, n_tokens):
         limits = FakeLimits(1)
         grant = Grant(grant_id="g", engine="e")
         admitter = LimitedAdmitter(inner=FakeAdmitter(Ok(grant)), limits=limits)
@@ -84,8 +84,8 @@
         assert limits.n_places == 1
 
     async def test_refused_or_cancelled_keeps_no_place(self):
-        """The pool refuses a request, then a caller leaves while it waits. Were their
-        places kept, the organisation would soon be refused with nothing running.
+        """The pool refuses a request, then a caller disconnects while it waits. If
+        their places leaked, the organisation would soon be refused while nothing runs.
         """
         limits = FakeLimits(1)
         refusal = Err(NotRun(reason="shed"))
--- a/tests/test_peer_limits.py
+++ b/tests/test_peer_limits.py
@@ -1,4 +1,4 @@
-"""Limits per organisation over several nodes, on a network in memory."""
+"""Limits per organisation over several nodes, on an in-memory network."""
 
 from __future__ import annotations
 
@@ -33,7 +33,7 @@
 
 
 class FakeNodes:
-    """All nodes, less those that were lost."""
+    """A view of all nodes without the lost ones."""
 
     def __init__(self, me, members, lost):
         self.me = me
@@ -53,7 +53,7 @@
 
 
 class Rig:
-    """Three nodes and one organisation with limits."""
+    """Runs three nodes and one organisation with limits."""
 
     def __init__(self):
         self.clock = LoopClock()
@@ -105,7 +105,7 @@
             await server.close()
 
     def set_lost(self, *names):
-        """Let all nodes hold just these for gone."""
+        """Make exactly these nodes lost in the views of all nodes."""
         self.lost.clear()
         self.lost.update(names)
         for view in self.views:
@@ -115,7 +115,7 @@
         return self.limits[name].admit("org", 1) is None
 
     async def saturate(self, names, seconds):
-        """Ask for much more than is allowed; returns the tokens let through."""
+        """Request much more than the limit; return the admitted tokens."""
         n_tokens = 0
         for _ in range(round(seconds / 0.05)):
             await asyncio.sleep(0.05)
@@ -129,8 +129,8 @@
 @pytest.mark.looptime
 class TestLimits:
     async def test_one_limit_over_three_nodes(self):
-        """An organisation sends to all nodes at once. Were each node to hold the whole
-        limit by itself, it would get three times what it may have.
+        """An organisation sends to all nodes at once. If each node enforced the whole
+        limit by itself, the organisation would get three times its limit.
         """
         rig = Rig()
         await rig.start()
@@ -140,8 +140,8 @@
         await rig.stop()
 
     async def test_one_busy_node_gets_more_than_its_even_share(self):
-        """All of an organisation's callers come to one node. Its share there would be
-        a third of what it pays for.
+        """All of an organisation's callers use one node. With even shares they would
+        get a third of the limit that it pays for.
         """
         rig = Rig()
         await rig.start()
@@ -151,7 +151,7 @@
         await rig.stop()
 
     async def test_places_over_three_nodes(self):
-        """Long drafts are opened at all nodes. Together they stay within the limit."""
+        """Long generations opened at all nodes stay within the limit together."""
         rig = Rig()
         await rig.start()
         n_open = 0
@@ -163,8 +163,8 @@
         await rig.stop()
 
     async def test_limit_home_is_lost(self):
-        """The limit home dies, and nobody has noticed yet. Work goes on by even shares
-        and stays within the limit, then a new home lends.
+        """The limit home dies. Until the loss is detected, work continues by even
+        shares within the limit; then a new home lends.
         """
         rig = Rig()
         await rig.start()
@@ -181,10 +181,10 @@
         assert n_tokens > 0.5 * 20.0 * N_TOKENS_PER_SECOND
         await rig.stop()
 
-    async def test_home_that_comes_back(self):
-        """The limit home is suspected for a while, and another one lends in its place.
-        When it is back it holds no books on that; were it to lend as one of long
-        standing, the places would be lent twice.
+    async def test_returning_home_does_not_lend_twice(self):
+        """The limit home is suspected for a while and another one lends in its place.
+        After its return it has no record of those loans. If it lent as an established
+        home, the places would be lent twice.
         """
         rig = Rig()
         await rig.start()
@@ -205,8 +205,8 @@
         await rig.stop()
 
     async def test_burst_at_a_node_that_was_idle(self):
-        """An organisation's callers all come to a node that it did not use before. The
-        node has a third of the places and borrows the rest before it refuses anyone.
+        """An organisation's callers all use a node that was idle for it. The node has a
+        third of the places and borrows the rest before it refuses any request.
         """
         rig = Rig()
         await rig.start()
@@ -220,9 +220,10 @@
         assert all(isinstance(answer, Ok) for answer in answers)
         await rig.stop()
 
-    async def test_refused_burst_comes_back(self):
-        """Callers are refused at an idle node and come back when they were told to. The
-        places borrowed for them are still there; else they would be let in one by one.
+    async def test_refused_burst_is_admitted_on_retry(self):
+        """Callers are refused at an idle node and retry after the time they were given.
+        The places borrowed for them must still be held; otherwise the callers would be
+        admitted one by one.
         """
         rig = Rig()
         await rig.start()
@@ -232,7 +233,7 @@
         refusals = [answer for answer in answers if answer is not None]
         assert 0 < len(refusals) <= 4
         await asyncio.sleep(0.5)
-        # What was let in produces tokens, so that the node borrows again.
+        # The admitted generations produce tokens, so that the node borrows again.
         limits.settle("org", 130)
         await asyncio.sleep(max(refusal.retry_after for refusal in refusals))
         assert not any(limits.admit("org", 30) for _ in refusals)
@@ -257,7 +258,7 @@
 
 
 class FakeAdmitter(Admitter):
-    """Grants, refuses or waits for ever, as it is told."""
+    """Returns the configured answer, or waits for ever without one."""
 
     def __init__(self):
         self.answer = None
@@ -281,9 +282,9 @@
         inner = FakeAdmitter()
         return rig, inner, LimitedAdmitter(inner=inner, limits=rig.limits["a"])
 
-    async def test_every_way_out_gives_the_place_back(self):
-        """Callers leave, requests are refused, drafts end. Were a place kept on any of
-        these ways, the organisation would after a while be refused for ever.
+    async def test_every_exit_frees_the_place(self):
+        """Callers disconnect, requests are refused, generations end. If any of these
+        leaked a place, the organisation would eventually be refused for ever.
         """
         rig, inner, admitter = self.make()
         for number in range(60):
@@ -303,9 +304,9 @@
                 admitter.finish(grant, 1, "answered")
                 admitter.finish(grant, 1, "answered")
 
-    async def test_long_drafts_are_charged_as_they_grow(self):
-        """One draft produces far more than is usual. Were it charged at its end only,
-        the organisation could hold the engines far over its limit until then.
+    async def test_long_generations_are_charged_as_they_grow(self):
+        """One generation is far longer than the mean. If it were charged only at its
+        end, the organisation could use the engines far over its limit until then.
         """
         rig, inner, admitter = self.make()
         grant = Grant(grant_id="g", engine="e")
--- a/tests/test_reportages.py
+++ b/tests/test_reportages.py
@@ -1,4 +1,4 @@
-"""How old engines' reports are, whatever the clocks say."""
+"""Age of engines' reports when clocks are wrong."""
 
 from __future__ import annotations
 
@@ -18,28 +18,28 @@
 
 
 class TestReportAges:
-    def test_a_clock_an_hour_off_ages_nothing(self):
-        """The clock of a node is an hour ahead. Were its reports taken for an hour
-        old, its pools would let nobody in, and callers would wait in vain.
+    def test_clock_offset_does_not_age_reports(self):
+        """A node's clock is an hour ahead. If it took reports as an hour old, its pools
+        would admit no request until the callers' deadlines.
         """
         ages = ReportAges()
         found = [ages.record(report(n, n * 0.5), 3600 + n * 0.5) for n in range(5)]
         assert max(found) < 0.001
 
-    def test_a_late_report_is_as_old_as_it_is_late(self):
+    def test_late_report_ages_by_its_delay(self):
         ages = ReportAges()
         ages.record(report(1, 10.0), 10.1)
         assert abs(ages.record(report(2, 11.0), 13.1) - 2.0) < 0.001
 
-    def test_a_stuck_engine_grows_older(self):
-        """An engine hangs and gives its last report again and again. It must count as
-        silent before long.
+    def test_repeated_report_ages(self):
+        """An engine hangs and repeats its last report. The report has to age, so that
+        the engine counts as silent.
         """
         ages = ReportAges()
         found = [ages.record(report(1, 10.0), 10.0 + n) for n in range(30)]
         assert found[-1] == 29.0
 
-    def test_a_jump_of_the_clock_is_got_over(self):
+    def test_ages_recover_after_clock_jump(self):
         ages = ReportAges()
         for n in range(10):
             ages.record(report(n, n), n)
