--- a/celerytrail/relay/addresses.py
+++ b/celerytrail/relay/addresses.py
@@ -1,4 +1,4 @@
-"""Tells callers which addresses to use, and the platform whether this node is ready."""
+"""Handlers that return callers' addresses to connect to, and this node's readiness."""
 
 from __future__ import annotations
 
@@ -13,18 +13,18 @@
 from ..types import Address
 
 MAX_ADDRESSES = 64
-# For how long an answer may be used, in seconds: short, as callers keep one up to three
-# times as long, and one that names a VM that has gone costs them a second each time.
+# How long an answer may be cached, in seconds. Callers keep one up to three times as
+# long, and an address whose VM no longer exists costs them a second per try.
 ADDRESS_SECONDS = 2.0
 
 
 def choose_addresses(
     members: list[Member], failure_domain: str, rng: random.Random
 ) -> list[Address]:
-    """Return where callers may connect: those that serve, near ones first.
+    """Return the addresses of nodes that serve, those in the failure domain first.
 
-    Where none says that it serves, all that may live are named: an empty answer would
-    leave callers with nothing to try.
+    If no node is alive, all that aren't known to be dead are returned: with an empty
+    answer callers would have no address to try.
     """
     serving = [member for member in members if member.state is State.ALIVE]
     if not serving:
@@ -35,16 +35,16 @@
 
 
 class DirectoryHandler(Handler):
-    """Answers callers that ask where to connect.
+    """Handles callers' requests for addresses to connect to.
 
     Parameters
     ----------
     nodes : Nodes
-        The nodes that are known.
+        The known nodes.
     max_seconds : float
-        How long callers may keep an answer at most.
+        Upper limit on how long callers may cache an answer.
     rng : random.Random
-        Shuffles equals.
+        Shuffles the addresses within a failure domain.
     """
 
     def __init__(self, *, nodes: Nodes, max_seconds: float, rng: random.Random) -> None:
@@ -53,7 +53,7 @@
         self._rng = rng
 
     async def handle(self, req: Request, res: Responder) -> None:
-        """Answer one question."""
+        """Answer one request."""
         if req.path != wire.ADDRESSES_PATH:
             await res.send(404)
             return
@@ -64,12 +64,12 @@
 
 
 class ReadinessHandler(Handler):
-    """Answers the platform's own check.
+    """Handles the platform's readiness checks.
 
     Parameters
     ----------
     is_ready : callable
-        Whether callers should be sent here.
+        Returns whether callers should be sent to this node.
     """
 
     def __init__(self, *, is_ready: Callable[[], bool]) -> None:
--- a/celerytrail/relay/calls.py
+++ b/celerytrail/relay/calls.py
@@ -1,4 +1,4 @@
-"""Requests to plain endpoints: whole answers, repeated only where that is allowed."""
+"""Relays requests to plain endpoints and repeats only those that may be repeated."""
 
 from __future__ import annotations
 
@@ -13,62 +13,65 @@
 from ..platform import wire
 from ..policies.endpointchoice import EndpointChoice
 from ..policies.retrybudget import RetryBudget
-from .exchange import CallerGoneError, Exchange, refuse
+from .exchange import CallerDisconnectedError, Exchange, refuse
 from .registry import Registry
 
-# Share of the target after which a second endpoint is asked as well, where the request
-# may be repeated: most answers take a sixth of it, and what is left still suffices.
+# Share of the target after which a repeatable request is also sent to a second
+# endpoint. Most answers take a sixth of the target, and the rest is enough for another.
 HEDGE_SHARE = 0.45
-# How long to connect, in seconds, before another endpoint is tried.
+# Connect timeout before another endpoint is tried, in seconds.
 CONNECT_SECONDS = 0.25
-# To how many endpoints a request goes that none of them has run.
-MAX_NOT_RUN = 3
-# When to come back after all endpoints refused, in seconds.
+# Endpoints that a request may be sent to while none has executed it.
+MAX_TRIED_ENDPOINTS = 3
+# Retry-After when all endpoints refused, in seconds.
 BUSY_RETRY_SECONDS = 0.25
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Answered:
-    """An endpoint's own whole answer."""
+    """A complete answer of the endpoint's own."""
 
     res: Response
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
-class NotRunThere:
-    """The endpoint has not run the request; ``was_sent`` tells whether it saw it."""
+class NotExecuted:
+    """The endpoint hasn't executed the request.
+
+    ``was_sent`` is True if the endpoint received it.
+    """
 
     reason: str
     was_sent: bool = False
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
-class Broken:
-    """The endpoint may have run the request, but no answer can be passed on."""
+class Failed:
+    """The endpoint may have executed the request, but gave no usable answer."""
 
     reason: str
 
 
-Outcome = Answered | NotRunThere | Broken
+Outcome = Answered | NotExecuted | Failed
 
 
 @dataclass(kw_only=True, slots=True)
-class _Tries:
-    """The tries of one request that may run again.
+class _Attempts:
+    """The attempts at one repeatable request.
 
-    ``tried`` are endpoints, ``n_run`` counts tries that may have run there, ``n_sent``
-    those that an endpoint got to see.
+    ``tried`` holds the endpoints, ``n_maybe_executed`` counts the ended attempts that
+    an endpoint may have executed, and ``n_sent`` those that an endpoint received.
     """
 
     tried: set[str] = field(default_factory=set)
     pending: set[asyncio.Task[Outcome]] = field(default_factory=set)
-    n_run: int = 0
+    n_maybe_executed: int = 0
     n_sent: int = 0
 
-    def note(self, outcome: Outcome) -> None:
-        """Note how a try ended."""
-        if not isinstance(outcome, NotRunThere):
-            self.n_run += 1
+    def record(self, outcome: Outcome) -> None:
+        """Count an attempt by its outcome."""
+        if not isinstance(outcome, NotExecuted):
+            self.n_maybe_executed += 1
             self.n_sent += 1
         elif outcome.was_sent:
             self.n_sent += 1
@@ -80,13 +83,13 @@
     Parameters
     ----------
     client : HttpClient
-        Speaks with endpoints.
+        Sends requests to endpoints.
     registry : Registry
-        Knows them.
+        Lists them.
     choice : EndpointChoice
         Chooses among them.
     budget : RetryBudget
-        Bounds what is sent again.
+        Bounds repeated requests.
     """
 
     def __init__(
@@ -104,20 +107,20 @@
         self.n_open = 0
 
     async def relay(self, ex: Exchange) -> None:
-        """Answer a request from an endpoint of its service."""
+        """Answer a request with the answer of an endpoint of its service."""
         now = asyncio.get_running_loop().time()
         self._budget.note_request(ex.service, now)
         try:
             if ex.route.kind is RouteKind.IDEMPOTENT:
-                outcome = await ex.unless_gone(self._ask_repeatedly(ex))
+                outcome = await ex.run_while_connected(self._send_repeatable(ex))
             else:
-                outcome = await ex.unless_gone(self._ask_once(ex))
-        except CallerGoneError:
+                outcome = await ex.run_while_connected(self._send_unrepeatable(ex))
+        except CallerDisconnectedError:
             ex.log("caller_gone")
             return
-        await self._answer(ex, outcome)
+        await self._send_answer(ex, outcome)
 
-    async def _answer(self, ex: Exchange, outcome: Outcome) -> None:
+    async def _send_answer(self, ex: Exchange, outcome: Outcome) -> None:
         attempt = ex.facts.attempt_id
         match outcome:
             case Answered(res=res):
@@ -125,7 +128,7 @@
                 ex.observe("relay_answer")
                 headers = wire.answer_headers(res.headers)
                 await ex.res.send(res.status, res.body, headers)
-            case NotRunThere(reason=reason):
+            case NotExecuted(reason=reason):
                 ex.log("refused", reason=reason)
                 await refuse(
                     ex.res,
@@ -134,85 +137,93 @@
                     attempt_id=attempt,
                     retry_after=BUSY_RETRY_SECONDS,
                 )
-            case Broken(reason=reason):
+            case Failed(reason=reason):
                 status = 504 if reason in ("timeout", "stalled") else 502
                 ex.log("failed", reason=reason, status=status)
                 await refuse(ex.res, status, reason, attempt_id=attempt)
 
-    async def _ask_once(self, ex: Exchange) -> Outcome:
-        """Send a request that must not run twice, until one endpoint takes it."""
+    async def _send_unrepeatable(self, ex: Exchange) -> Outcome:
+        """Send a request that must run only once, until an endpoint accepts it."""
         tried: set[str] = set()
-        outcome: Outcome = NotRunThere(reason="no_endpoint")
+        outcome: Outcome = NotExecuted(reason="no_endpoint")
         n_sent = 0
-        while len(tried) < MAX_NOT_RUN:
-            reg = self._next(ex, tried, is_repeat=n_sent > 0)
+        while len(tried) < MAX_TRIED_ENDPOINTS:
+            reg = self._choose_endpoint(ex, tried, is_repeat=n_sent > 0)
             if reg is None:
                 break
             tried.add(reg.endpoint)
             outcome = await self._attempt(ex, reg)
-            # Only an endpoint's own word that it has not run the request, or a request
-            # of which no byte went out, allows another one to be asked.
-            if not isinstance(outcome, NotRunThere):
+            # Another endpoint may be tried only if this one states that it hasn't
+            # executed the request, or if no byte of it was sent.
+            if not isinstance(outcome, NotExecuted):
                 break
             n_sent += outcome.was_sent
         return outcome
 
-    async def _ask_repeatedly(self, ex: Exchange) -> Outcome:
-        """Send a request that may run again; a slow or failed try gets a second one."""
-        tries = _Tries()
-        worst: Outcome = NotRunThere(reason="no_endpoint")
+    async def _send_repeatable(self, ex: Exchange) -> Outcome:
+        """Send a request that may be repeated, and hedge slow or failed attempts."""
+        attempts = _Attempts()
+        failure: Outcome = NotExecuted(reason="no_endpoint")
         try:
-            while tries.pending or self._begin(ex, tries):
-                for task in await self._wait(ex, tries):
-                    tries.pending.discard(task)
+            while attempts.pending or self._begin_attempt(ex, attempts):
+                for task in await self._wait_or_hedge(ex, attempts):
+                    attempts.pending.discard(task)
                     outcome = task.result()
                     if isinstance(outcome, Answered) and outcome.res.status < 500:
                         return outcome
-                    tries.note(outcome)
-                    worst = _better(worst, outcome)
-            return worst
+                    attempts.record(outcome)
+                    failure = _more_informative(failure, outcome)
+            return failure
         finally:
-            for task in tries.pending:
+            for task in attempts.pending:
                 task.cancel()
 
-    def _begin(self, ex: Exchange, tries: _Tries) -> bool:
-        """Begin one more try, where one is allowed and there is an endpoint for it."""
-        n_attempts = tries.n_run + len(tries.pending)
-        if len(tries.tried) >= MAX_NOT_RUN or n_attempts >= ex.route.max_attempts:
+    def _begin_attempt(self, ex: Exchange, attempts: _Attempts) -> bool:
+        """Begin one more attempt if the limits allow it and an endpoint is left."""
+        n_attempts = attempts.n_maybe_executed + len(attempts.pending)
+        if (
+            len(attempts.tried) >= MAX_TRIED_ENDPOINTS
+            or n_attempts >= ex.route.max_attempts
+        ):
             return False
-        is_repeat = tries.n_sent > 0 or bool(tries.pending)
-        reg = self._next(ex, tries.tried, is_repeat=is_repeat)
+        is_repeat = attempts.n_sent > 0 or bool(attempts.pending)
+        reg = self._choose_endpoint(ex, attempts.tried, is_repeat=is_repeat)
         if reg is None:
             return False
-        tries.tried.add(reg.endpoint)
-        tries.pending.add(asyncio.ensure_future(self._attempt(ex, reg)))
+        attempts.tried.add(reg.endpoint)
+        attempts.pending.add(asyncio.ensure_future(self._attempt(ex, reg)))
         return True
 
-    async def _wait(self, ex: Exchange, tries: _Tries) -> set[asyncio.Task[Outcome]]:
-        """Wait for tries to end; one that takes long gets a second one beside it.
+    async def _wait_or_hedge(
+        self, ex: Exchange, attempts: _Attempts
+    ) -> set[asyncio.Task[Outcome]]:
+        """Wait for attempts to end; begin a second one when they take long.
 
-        Returns those that ended, none where another one was begun.
+        Returns
+        -------
+        set of asyncio.Task
+            The ended attempts; empty when another one was begun.
         """
         timeout = None
-        if tries.n_run + len(tries.pending) < ex.route.max_attempts:
+        if attempts.n_maybe_executed + len(attempts.pending) < ex.route.max_attempts:
             timeout = HEDGE_SHARE * ex.route.target_seconds
         done, _ = await asyncio.wait(
-            tries.pending, timeout=timeout, return_when=asyncio.FIRST_COMPLETED
+            attempts.pending, timeout=timeout, return_when=asyncio.FIRST_COMPLETED
         )
-        if not done and not self._begin(ex, tries):
+        if not done and not self._begin_attempt(ex, attempts):
             done, _ = await asyncio.wait(
-                tries.pending, return_when=asyncio.FIRST_COMPLETED
+                attempts.pending, return_when=asyncio.FIRST_COMPLETED
             )
         return done
 
-    def _next(
+    def _choose_endpoint(
         self, ex: Exchange, tried: set[str], *, is_repeat: bool
     ) -> Registration | None:
-        """Return where to send a request next, within the budget for repeats.
+        """Choose the next endpoint for a request, within the retry budget.
 
-        The budget bounds what endpoints get to see. A connection that was refused
-        showed the endpoint nothing; charged for it, callers would be refused for want
-        of budget while a crashed endpoint's row still stands.
+        The budget bounds what endpoints receive, and a refused connection delivers
+        nothing. If refused connections were charged to it, a crashed endpoint's
+        registration would use up the budget and callers would be refused.
         """
         now = asyncio.get_running_loop().time()
         reg = self._choice.choose(self._registry.usable(ex.service), tried, now)
@@ -239,13 +250,13 @@
             self._choice.end(
                 reg.endpoint,
                 is_failed=is_failed,
-                is_broken=isinstance(outcome, Broken),
+                is_broken=isinstance(outcome, Failed),
                 now=now,
             )
 
     async def _send(self, ex: Exchange, reg: Registration) -> Outcome:
         if ex.seconds_left <= 0:
-            return Broken(reason="timeout")
+            return Failed(reason="timeout")
         facts = wire.ForwardFacts(
             endpoint=reg.endpoint,
             budget_seconds=ex.seconds_left,
@@ -266,25 +277,25 @@
             exc = opened.err_value
             ex.log("attempt_failed", endpoint=reg.endpoint, reason=exc.reason)
             if isinstance(exc, NotSent):
-                return NotRunThere(reason=exc.reason)
-            return Broken(reason=exc.reason)
+                return NotExecuted(reason=exc.reason)
+            return Failed(reason=exc.reason)
         stream = opened.ok_value
         body = await stream.read(ex.loop_deadline)
         if isinstance(body, Err):
             lost: Lost = body.err_value
             ex.log("attempt_failed", endpoint=reg.endpoint, reason=lost.reason)
-            return Broken(reason=lost.reason)
+            return Failed(reason=lost.reason)
         if wire.is_not_run(stream.status, stream.headers):
             ex.log("attempt_refused", endpoint=reg.endpoint, status=stream.status)
-            return NotRunThere(reason="endpoint_refused", was_sent=True)
+            return NotExecuted(reason="endpoint_refused", was_sent=True)
         if not wire.is_own_answer(stream.headers):
             ex.log("attempt_failed", endpoint=reg.endpoint, reason="unsealed")
-            return Broken(reason="unsealed")
+            return Failed(reason="unsealed")
         res = Response(status=stream.status, headers=stream.headers, body=body.ok_value)
         return Answered(res=res)
 
 
-def _better(one: Outcome, other: Outcome) -> Outcome:
-    """Return which of two failed tries tells the caller more."""
-    order = (NotRunThere, Broken, Answered)
-    return max(one, other, key=lambda outcome: order.index(type(outcome)))
+def _more_informative(first: Outcome, second: Outcome) -> Outcome:
+    """Return the outcome that is more informative to the caller."""
+    order = (NotExecuted, Failed, Answered)
+    return max(first, second, key=lambda outcome: order.index(type(outcome)))
--- a/celerytrail/relay/departures.py
+++ b/celerytrail/relay/departures.py
@@ -1,4 +1,4 @@
-"""Carries runs off engines that leave or fall silent, while their callers read on."""
+"""Moves runs off engines that leave or fall silent, unnoticed by their callers."""
 
 from __future__ import annotations
 
@@ -13,50 +13,52 @@
 from ..platform import wire
 from ..policies import moving
 from ..policies.engineloads import EngineLoads
-from .engineapi import EngineApi, MoveFailed
+from .engineapi import CopyFailed, EngineApi
 from .engineopener import EngineOpener
 from .engineplacer import EnginePlacer
 from .liverun import Copied, LiveRun, Switched
 from .registry import Registry
 
-# How many engines are asked that refuse a run before it stays where it is.
-MAX_REFUSED = 3
-# Copies that take longer than this are not worth waiting for, in seconds.
-COPY_SECONDS = 4.0
-# Between two looks whether it is a run's turn to be moved, in seconds.
-TURN_SECONDS = 0.005
-# A copy that is made as the run grows is taken to stand after so long, in seconds: it
-# is sent several times a second, and 4,000 tokens take 0.2 s to 0.5 s over a link.
-COPY_AGE_SECONDS = 0.3
-# How much older than its answer an engine's report is, in seconds.
+# Engines that may refuse a run before it stays where it is.
+MAX_REFUSALS = 3
+# Time limit for the copies of a run, in seconds; copies that take longer aren't worth
+# waiting for.
+COPY_TIMEOUT_SECONDS = 4.0
+# Interval between two checks whether it is a run's turn to be moved, in seconds.
+TURN_POLL_SECONDS = 0.005
+# Age of a run from which its backup is expected to be usable, in seconds: engines send
+# it several times a second, and 4,000 tokens take 0.2 s to 0.5 s over a link.
+BACKUP_READY_SECONDS = 0.3
+# How much older an engine's report may be than the answer that carries it, in seconds.
 REPORT_LAG_SECONDS = 0.55
-# How long an engine that leaves may take to say when it will be gone, in seconds.
-REPORT_SECONDS = 0.3
-# How long the order to free a copy may take, in seconds.
-FREE_SECONDS = 0.5
-# How often a copy is tried that does not stand yet, and the pause between, in seconds.
-SWITCH_TRIES = 3
+# Time limit for a leaving engine to report when it shuts down, in seconds.
+REPORT_TIMEOUT_SECONDS = 0.3
+# Time limit for freeing a copy, in seconds.
+FREE_TIMEOUT_SECONDS = 0.5
+# Attempts to switch to a backup that isn't usable yet, and the pause between them, in
+# seconds.
+MAX_SWITCH_TRIES = 3
 SWITCH_PAUSE_SECONDS = 0.2
-# A stream with a copy elsewhere goes on there after so long without an event, in
-# seconds; engines under load pause for a few tenths at most.
-SILENT_SECONDS = 0.9
+# Time without an event after which a run with a backup continues there, in seconds;
+# engines under load pause for a few tenths at most.
+SILENCE_TIMEOUT_SECONDS = 0.9
 
 
 class Departures:
-    """Gets runs off engines before these are gone.
+    """Moves runs off engines before these shut down.
 
     Parameters
     ----------
     api : EngineApi
-        Orders copies.
+        Requests copies and reports.
     registry : Registry
-        Knows the engines.
+        Lists the engines.
     loads : EngineLoads
-        What all nodes have placed.
+        The runs that all nodes have placed.
     placer : EnginePlacer
-        Chooses where runs go.
+        Chooses the target engines.
     opener : EngineOpener
-        Opens their streams there.
+        Opens streams at the target engines.
     """
 
     def __init__(
@@ -74,28 +76,29 @@
         self._placer = placer
         self._opener = opener
         self._tasks: set[asyncio.Task[None]] = set()
-        # When engines that leave will be gone, in loop time.
+        # By endpoint, the loop time at which a leaving engine shuts down.
         self._leaves_at: dict[str, float] = {}
 
     def on_leaving(self, reg: Registration, runs: Iterable[LiveRun]) -> None:
-        """Carry what runs on an engine that leaves to others, most advanced first."""
+        """Move the runs of a leaving engine to others, the most advanced ones first."""
         leaving = []
         for live in runs:
             if live.backup is not None and live.backup.endpoint == reg.endpoint:
-                self._placer.forget_backup(live)
+                self._placer.clear_backup(live)
             if live.reg is not None and live.reg.endpoint == reg.endpoint:
                 leaving.append(live)
         leaving.sort(key=lambda live: live.n_events, reverse=True)
         if leaving:
-            self._run(self._ask_end(reg))
+            self._run_in_background(self._fetch_shutdown_time(reg))
         for live in leaving:
-            self._leave_engine(live)
+            self._begin_move(live)
 
-    def look_at(self, live: LiveRun) -> None:
-        """Begin to carry a run off an engine that leaves or sends nothing more.
+    def move_if_needed(self, live: LiveRun) -> None:
+        """Begin to move a run off an engine that leaves or has stopped sending.
 
-        One that began to leave while the run was on its way there was not told of it;
-        the run would be lost with it. A run that is on its way now is let be: sent to a
+        An engine may begin to leave while a run is being moved to it, so that
+        ``on_leaving`` doesn't see the run; without this check the run would be lost
+        with the engine. A run that is already being resumed is skipped: opened at a
         second engine at the same time, it would run at both.
         """
         if live.is_resuming or not live.started.is_set():
@@ -103,13 +106,13 @@
         if live.move is not None or live.reg is None:
             return
         if self._registry.is_leaving(live.reg):
-            self._leave_engine(live)
-        elif live.backup is not None and live.silent_seconds > SILENT_SECONDS:
-            live.move = asyncio.ensure_future(self._leave_silent(live))
+            self._begin_move(live)
+        elif live.backup is not None and live.silent_seconds > SILENCE_TIMEOUT_SECONDS:
+            live.move = asyncio.ensure_future(self._leave_silent_engine(live))
 
     @staticmethod
-    def drop_move(live: LiveRun) -> None:
-        """Let go of a move that is no longer needed."""
+    def discard_move(live: LiveRun) -> None:
+        """Discard a move that is no longer needed."""
         move = live.move
         if move is None:
             return
@@ -120,59 +123,63 @@
             if isinstance(switched, Switched):
                 switched.stream.close()
 
-    def drop_backup(self, live: LiveRun, reg: Registration) -> None:
-        """Free the copy that a run leaves behind when it goes on at ``reg``."""
+    def free_backup(self, live: LiveRun, reg: Registration) -> None:
+        """Free the backup that a run no longer needs when it continues at ``reg``."""
         backup = live.backup
         if backup is None or backup.endpoint == reg.endpoint:
             return
-        deadline = asyncio.get_running_loop().time() + FREE_SECONDS
+        deadline = asyncio.get_running_loop().time() + FREE_TIMEOUT_SECONDS
         attempt = live.ex.facts.attempt_id
-        self._run(self._api.free(backup.address, attempt, deadline))
+        self._run_in_background(self._api.free_copy(backup.address, attempt, deadline))
 
-    def _run(self, work: Coroutine[Any, Any, None]) -> None:
-        """Run something beside the requests, and keep it from being collected."""
+    def _run_in_background(self, work: Coroutine[Any, Any, None]) -> None:
+        """Run a background task, and keep a reference that prevents its collection."""
         task = asyncio.ensure_future(work)
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
-    def _leave_engine(self, live: LiveRun) -> None:
-        """Begin to carry a run off its engine."""
-        if live.move is None or _came_to_nothing(live.move):
-            live.move = asyncio.ensure_future(self._carry_off(live))
+    def _begin_move(self, live: LiveRun) -> None:
+        """Begin to move a run off its engine, unless a move is in progress."""
+        if live.move is None or _has_failed(live.move):
+            live.move = asyncio.ensure_future(self._move_off(live))
 
-    async def _carry_off(self, live: LiveRun) -> Copied | Switched | None:
-        """Get a run off an engine that leaves."""
+    async def _move_off(self, live: LiveRun) -> Copied | Switched | None:
+        """Move a run off a leaving engine, to its backup or by a copy."""
         source = live.reg
         await live.started.wait()
-        for _ in range(SWITCH_TRIES):
+        for _ in range(MAX_SWITCH_TRIES):
             if live.backup is None or not self._registry.is_usable(live.backup):
                 break
-            # A copy is made as the run grows; right after the first event there is
-            # none.
-            await asyncio.sleep(COPY_AGE_SECONDS - live.age_seconds)
-            switched = await self._switch(live, live.backup)
+            # A backup is built up while the run progresses; right after the first event
+            # there is none yet.
+            await asyncio.sleep(BACKUP_READY_SECONDS - live.age_seconds)
+            switched = await self._switch_to_backup(live, live.backup)
             if switched is not None:
                 return switched
             await asyncio.sleep(SWITCH_PAUSE_SECONDS)
         if live.reg != source or source is None or not live.engine.can_move:
             return None
         if live.backup is not None:
-            # The others must know that it takes its turn on the link.
-            self._placer.forget_backup(live)
+            # The other nodes count only runs without a backup when they order moves on
+            # the link.
+            self._placer.clear_backup(live)
         return await self._move_in_turn(live, source)
 
-    async def _leave_silent(self, live: LiveRun) -> Copied | Switched | None:
-        """Go on from a copy, where there is one, as the engine sends nothing more."""
+    async def _leave_silent_engine(self, live: LiveRun) -> Copied | Switched | None:
+        """Switch to the backup, if any, because the engine sends nothing."""
         if live.backup is None:
             return None
         live.ex.log("silent", endpoint=live.run.endpoint)
-        return await self._switch(live, live.backup)
+        return await self._switch_to_backup(live, live.backup)
 
-    async def _switch(self, live: LiveRun, backup: Registration) -> Switched | None:
-        """Go on from a copy that grew elsewhere, and only then leave the engine.
+    async def _switch_to_backup(
+        self, live: LiveRun, backup: Registration
+    ) -> Switched | None:
+        """Resume a run at its backup, and only then leave the engine.
 
-        The copy may be missing. Were the engine left first, the run would be lost; as
-        it is, both work on it for the few milliseconds until the answer's head comes.
+        The backup may be missing. If the engine were left first, the run would then be
+        lost; this way both engines run it for the few milliseconds until the head of
+        the answer arrives.
         """
         name = wire.copy_name(backup.address, live.ex.facts.attempt_id)
         opened = await self._opener.open(live, backup, None, name)
@@ -184,38 +191,41 @@
         return Switched(reg=backup, stream=opened.ok_value)
 
     async def _move_in_turn(self, live: LiveRun, source: Registration) -> Copied | None:
-        """Move a run when those before it have left the engine's link."""
+        """Move a run once the runs ahead of it have left the engine's link."""
         await self._await_turn(live, source)
         if live.reg != source:
             return None
-        return await self._move(live, source)
+        return await self._copy_to_engine(live, source)
 
     async def _await_turn(self, live: LiveRun, source: Registration) -> None:
-        """Wait until the moves before this one are done, or given up."""
+        """Wait until the moves ahead of this one are done or skipped."""
         loop = asyncio.get_running_loop()
         turns = moving.Turns(run_id=live.run.run_id, engine=live.engine)
         while live.reg == source:
             if turns.may_begin(self._loads.on_engine(source.endpoint), loop.time()):
                 break
-            await asyncio.sleep(TURN_SECONDS)
+            await asyncio.sleep(TURN_POLL_SECONDS)
 
-    async def _move(self, live: LiveRun, source: Registration) -> Copied | None:
-        """Copy a run to an engine with room; one that refuses is not asked again."""
+    async def _copy_to_engine(
+        self, live: LiveRun, source: Registration
+    ) -> Copied | None:
+        """Copy a run to an engine with capacity; one that refuses isn't tried again."""
         excluded = {source.endpoint}
-        deadline = asyncio.get_running_loop().time() + COPY_SECONDS
-        for _ in range(MAX_REFUSED):
-            target = self._placer.move_target(live, source, excluded)
+        deadline = asyncio.get_running_loop().time() + COPY_TIMEOUT_SECONDS
+        for _ in range(MAX_REFUSALS):
+            target = self._placer.choose_move_target(live, source, excluded)
             if target is None:
                 live.ex.log("move_no_room", endpoint=source.endpoint)
                 return None
-            if not self._is_in_time(live, source, target):
-                # A copy that is cut off by its engine's end takes memory at the other
-                # one for seconds, and holds up those behind it.
+            if not self._can_finish_copy(live, source, target):
+                # A copy that is interrupted by its engine's shutdown occupies memory at
+                # the target for seconds, and delays the copies queued behind it.
                 live.ex.log("move_too_late", endpoint=source.endpoint)
                 return None
-            # The other nodes see the room taken before the run is there.
+            # Announced first, so that the other nodes count the memory as taken before
+            # the run arrives.
             live.backup = target
-            self._placer.share(live, is_reading=False, is_moving=True)
+            self._placer.announce(live, is_reading=False, is_moving=True)
             copied = await self._copy_and_stop(live, source, target, deadline)
             if isinstance(copied, Ok):
                 return copied.ok_value
@@ -225,7 +235,7 @@
             excluded.add(target.endpoint)
         return None
 
-    def _is_in_time(
+    def _can_finish_copy(
         self, live: LiveRun, source: Registration, target: Registration
     ) -> bool:
         leaves_at = self._leaves_at.get(source.endpoint)
@@ -235,15 +245,16 @@
         seconds = moving.copy_seconds(live.run, live.engine, is_far=is_far)
         return asyncio.get_running_loop().time() + seconds < leaves_at
 
-    async def _ask_end(self, reg: Registration) -> None:
-        """Ask an engine that leaves when it will be gone."""
+    async def _fetch_shutdown_time(self, reg: Registration) -> None:
+        """Read from a leaving engine's report when it shuts down."""
         loop = asyncio.get_running_loop()
         await asyncio.sleep(REPORT_LAG_SECONDS)
         asked_at = loop.time()
-        answered = await self._api.report(reg, asked_at + REPORT_SECONDS)
+        answered = await self._api.report(reg, asked_at + REPORT_TIMEOUT_SECONDS)
         if isinstance(answered, Err) or answered.ok_value.leaves_in_seconds is None:
             return
-        # The report is some hundred milliseconds old, so the end is no later than this.
+        # The report is a few hundred milliseconds old, so the engine shuts down no
+        # later than this.
         self._leaves_at[reg.endpoint] = asked_at + answered.ok_value.leaves_in_seconds
         log_message(
             "relay:engine:end_known",
@@ -257,12 +268,12 @@
         source: Registration,
         target: Registration,
         deadline: float,
-    ) -> Result[Copied, MoveFailed]:
-        """Copy a run while it goes on, then stop it and copy what is new."""
+    ) -> Result[Copied, CopyFailed]:
+        """Copy a run while it continues, then stop it and copy the rest."""
         moved: wire.Moved | None = None
         loop = asyncio.get_running_loop()
         for is_last in (False, True):
-            began_at = loop.time()
+            started_at = loop.time()
             copied = await self._api.copy(
                 source.address,
                 live.ex.facts.attempt_id,
@@ -272,9 +283,11 @@
             )
             if isinstance(copied, Err):
                 if moved is not None:
-                    # The first copy would take memory there for seconds.
-                    for end in (source, target):
-                        self._run(self._api.free(end.address, moved.handle, deadline))
+                    # The first copy would occupy memory there for seconds.
+                    for engine in (source, target):
+                        self._run_in_background(
+                            self._api.free_copy(engine.address, moved.handle, deadline)
+                        )
                 live.ex.log(
                     "move_failed",
                     endpoint=source.endpoint,
@@ -293,7 +306,7 @@
                 "copied",
                 endpoint=source.endpoint,
                 target=target.endpoint,
-                seconds=round(loop.time() - began_at, 4),
+                seconds=round(loop.time() - started_at, 4),
                 n_tokens=live.run.n_tokens,
                 is_last=is_last,
             )
@@ -302,7 +315,7 @@
         return Ok(Copied(reg=target, name=name))
 
 
-def _came_to_nothing(move: asyncio.Task[Copied | Switched | None]) -> bool:
+def _has_failed(move: asyncio.Task[Copied | Switched | None]) -> bool:
     if not move.done() or move.cancelled():
         return False
     return move.exception() is not None or move.result() is None
--- a/celerytrail/relay/engineapi.py
+++ b/celerytrail/relay/engineapi.py
@@ -1,4 +1,4 @@
-"""Calls to engines beside requests: reports of their load, and moves of runs."""
+"""Control requests to engines: load reports, and copies of runs."""
 
 from __future__ import annotations
 
@@ -16,11 +16,11 @@
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
-class MoveFailed:
-    """A copy was not made.
+class CopyFailed:
+    """A copy of a run failed.
 
-    Where ``handle`` is set the run was stopped all the same, and can go on at its own
-    engine by that name.
+    Where ``handle`` is set, the run was stopped nevertheless and can be resumed at its
+    own engine under that name.
     """
 
     reason: str
@@ -29,12 +29,12 @@
 
 
 class EngineApi:
-    """Speaks with engines about their load and their runs.
+    """Sends engines control requests about their load and their runs.
 
     Parameters
     ----------
     client : HttpClient
-        Makes the exchanges; engines echo no id on these.
+        Sends the requests; engines return no attempt id on these.
     """
 
     def __init__(self, *, client: HttpClient) -> None:
@@ -44,7 +44,7 @@
     async def report(
         self, reg: Registration, deadline: float
     ) -> Result[EngineReport, str]:
-        """Ask an engine for its load."""
+        """Read an engine's load report."""
         self.n_reports += 1
         answered = await self._client.request(
             reg.address, "GET", wire.REPORT_PATH, deadline=deadline
@@ -63,7 +63,7 @@
         *,
         is_last: bool,
         deadline: float,
-    ) -> Result[wire.Moved, MoveFailed]:
+    ) -> Result[wire.Moved, CopyFailed]:
         """Copy a run's memory to another engine; the last copy stops the run."""
         answered = await self._client.request(
             source,
@@ -74,16 +74,16 @@
             deadline=deadline,
         )
         if isinstance(answered, Err):
-            return Err(MoveFailed(reason=answered.err_value.reason))
+            return Err(CopyFailed(reason=answered.err_value.reason))
         res = answered.ok_value
         moved = wire.decode_moved(res.body)
         if res.status != 200 or isinstance(moved, Err):
             handle = None if isinstance(moved, Err) else moved.ok_value.handle
-            return Err(MoveFailed(reason="refused", status=res.status, handle=handle))
+            return Err(CopyFailed(reason="refused", status=res.status, handle=handle))
         return Ok(moved.ok_value)
 
-    async def free(self, source: Address, handle: str, deadline: float) -> None:
-        """Free a copy that will not be used, at both ends."""
+    async def free_copy(self, source: Address, handle: str, deadline: float) -> None:
+        """Free a copy that won't be used, at both engines."""
         answered = await self._client.request(
             source, "DELETE", wire.free_copy_path(handle), deadline=deadline
         )
--- a/celerytrail/relay/engineopener.py
+++ b/celerytrail/relay/engineopener.py
@@ -1,4 +1,4 @@
-"""Sends a generation to one engine."""
+"""Opens the stream of a generation at one engine."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from ..platform import wire
 from .liverun import Failed, LiveRun, Refused
 
-# How long to connect, in seconds, before another engine is tried.
+# Connect timeout before another engine is tried, in seconds.
 CONNECT_SECONDS = 0.25
 
 
@@ -19,7 +19,7 @@
     Parameters
     ----------
     client : HttpClient
-        Speaks with engines.
+        Sends requests to engines.
     """
 
     def __init__(self, *, client: HttpClient) -> None:
@@ -32,7 +32,19 @@
         backup: Registration | None,
         copy_name: str | None = None,
     ) -> Result[Stream, Refused | Failed]:
-        """Send the generation to one engine, new or from a copy."""
+        """Send a generation to an engine, to begin it or to resume it from a copy.
+
+        Parameters
+        ----------
+        live : LiveRun
+            The generation.
+        reg : Registration
+            The engine.
+        backup : Registration or None
+            The engine that receives a growing copy of the run, if any.
+        copy_name : str or None
+            The copy to resume from; None begins a new run.
+        """
         ex = live.ex
         if ex.seconds_left <= 0:
             return Err(Failed(reason="timeout"))
@@ -54,7 +66,7 @@
             deadline=ex.loop_deadline,
             connect_seconds=CONNECT_SECONDS,
             request_id=ex.facts.attempt_id,
-            may_send=ex.may_go_on if copy_name else ex.may_send,
+            may_send=ex.can_continue if copy_name else ex.may_send,
         )
         if isinstance(opened, Err):
             exc = opened.err_value
--- a/celerytrail/relay/engineplacer.py
+++ b/celerytrail/relay/engineplacer.py
@@ -1,4 +1,4 @@
-"""Places generations on engines by the view that all nodes share, and tells of it."""
+"""Places generations on engines by the load estimate that all nodes share."""
 
 from __future__ import annotations
 
@@ -11,41 +11,41 @@
 from ..policies.engineloads import EngineLoad, EngineLoads
 from ..policies.paces import Paces
 from ..policies.readrates import ReadRates
-from .liverun import LiveRun, Reading
+from .liverun import LiveRun, Prefill
 from .registry import Registry
 from .sharing import Sharing
 
-# Share of the target for which a generation waits here for an engine with room; the
-# rest is for reading its prompt.
+# Share of the target for which a generation waits for an engine with capacity; the rest
+# is for the prefill.
 WAIT_SHARE = 0.5
-# Between two looks for room, in seconds.
-LOOK_SECONDS = 0.02
-# How long an engine is avoided that no connection could be made to, in seconds: a
-# crashed one's row is gone after three of its heartbeats, some 3.6 s.
+# Interval between two checks for capacity, in seconds.
+POLL_SECONDS = 0.02
+# How long an engine is avoided after a failed connection, in seconds. A crashed
+# engine's registration expires after three of its heartbeats, about 3.6 s.
 AVOID_SECONDS = 2.0
 
 
 class EnginePlacer:
-    """Chooses engines for runs, and tells the other nodes of each choice.
+    """Chooses engines for runs and announces each choice to the other nodes.
 
     Parameters
     ----------
     registry : Registry
-        Knows the engines.
+        Lists the engines.
     loads : EngineLoads
-        What all nodes have placed.
+        The runs that all nodes have placed.
     sharing : Sharing
-        Tells the other nodes.
+        Announces runs to the other nodes.
     paces : Paces
-        How fast each engine is.
+        Decode speed of each engine.
     failure_domain : str
-        Where this node runs.
+        The failure domain of this node.
     rng : random.Random
         Breaks ties.
     policy : Placing
-        Decides among the engines.
+        Chooses among the engines.
     rates : ReadRates
-        How fast engines read prompts.
+        Prefill speed of the engines of each service.
     """
 
     def __init__(
@@ -68,11 +68,11 @@
         self._rng = rng
         self._placing = policy
         self._rates = rates
-        # Engines that no connection could be made to, and until when they are avoided.
+        # By endpoint, the loop time until which an unreachable engine is avoided.
         self._avoid_until: dict[str, float] = {}
 
-    def note_unreachable(self, reg: Registration) -> None:
-        """Avoid an engine for a while that no connection could be made to."""
+    def record_unreachable(self, reg: Registration) -> None:
+        """Avoid an engine for a while after a failed connection."""
         now = asyncio.get_running_loop().time()
         self._avoid_until = {
             endpoint: until
@@ -84,7 +84,8 @@
     def _usable(self, service: str, excluded: set[str]) -> list[Registration]:
         """Return the engines to choose from; avoided ones only if there are no others.
 
-        A silent engine costs each request that tries it a quarter of a second.
+        An engine that doesn't respond costs each request that tries it the connect
+        timeout of 0.25 s.
         """
         now = asyncio.get_running_loop().time()
         usable = [
@@ -99,7 +100,7 @@
 
     def _engine_loads(self, live: LiveRun, excluded: set[str]) -> list[EngineLoad]:
         engine = live.engine
-        empty = [
+        idle_loads = [
             EngineLoad(
                 reg=reg,
                 n_slots=engine.n_slots,
@@ -110,7 +111,7 @@
         now = asyncio.get_running_loop().time()
         return [
             replace(load, token_seconds=self._paces.token_seconds(load.reg.endpoint))
-            for load in self._loads.loads(empty, now)
+            for load in self._loads.loads(idle_loads, now)
         ]
 
     def _demand(self, live: LiveRun) -> placing.Demand:
@@ -124,29 +125,30 @@
         )
 
     async def place(self, live: LiveRun, excluded: set[str]) -> Registration | None:
-        """Wait for an engine with room; None where none has any in time."""
+        """Wait for an engine with capacity; return None if none has any in time."""
         ex = live.ex
         loop = asyncio.get_running_loop()
         target = ex.route.target_seconds
-        read_by = loop.time() + placing.READ_SHARE * target
-        until = min(loop.time() + WAIT_SHARE * target, ex.loop_deadline)
+        prefill_deadline = loop.time() + placing.READ_SHARE * target
+        wait_deadline = min(loop.time() + WAIT_SHARE * target, ex.loop_deadline)
         while True:
             loads = self._engine_loads(live, excluded)
             demand = replace(
-                self._demand(live), read_seconds=max(0.0, read_by - loop.time())
+                self._demand(live),
+                read_seconds=max(0.0, prefill_deadline - loop.time()),
             )
             load = self._placing.choose(loads, demand, self._rng)
             if load is not None:
                 ex.observe("relay_wait")
-                self._note_place(live, load.reg, loads, demand)
+                self._record_placement(live, load.reg, loads, demand)
                 return load.reg
-            if loop.time() >= until:
+            if loop.time() >= wait_deadline:
                 obstacles = placing.count_obstacles(loads, demand)
                 ex.log("no_room", n_engines=len(loads), obstacles=obstacles)
                 return None
-            await asyncio.sleep(LOOK_SECONDS)
+            await asyncio.sleep(POLL_SECONDS)
 
-    def _note_place(
+    def _record_placement(
         self,
         live: LiveRun,
         reg: Registration,
@@ -157,12 +159,12 @@
         n_ahead = sum(
             load.n_reading_tokens for load in loads if load.reg.endpoint == reg.endpoint
         )
-        live.reading = Reading(
-            n_tokens=n_ahead + demand.n_reading_tokens,
-            since=asyncio.get_running_loop().time(),
+        live.prefill = Prefill(
+            n_queued_tokens=n_ahead + demand.n_reading_tokens,
+            started_at=asyncio.get_running_loop().time(),
         )
         live.backup = self._choose_backup(live, reg, loads, demand)
-        self.share(live, is_reading=True)
+        self.announce(live, is_reading=True)
 
     def _choose_backup(
         self,
@@ -171,7 +173,7 @@
         loads: list[EngineLoad],
         demand: placing.Demand,
     ) -> Registration | None:
-        """Return the engine that gets a copy of a run as it grows, if any."""
+        """Return the engine that gets a growing copy of a run, if any."""
         if not live.engine.can_back_up or live.ex.route.is_resumable:
             return None
         others = [
@@ -183,10 +185,10 @@
         copy = placing.choose_backup(loads, demand, reg, self._rng, is_needed=is_needed)
         return copy.reg if copy is not None else None
 
-    def share(
+    def announce(
         self, live: LiveRun, *, is_reading: bool, is_moving: bool = False
     ) -> None:
-        """Tell the other nodes where a run is."""
+        """Announce to the other nodes where a run is."""
         assert live.reg is not None
         live.run = replace(
             live.run,
@@ -197,24 +199,24 @@
         )
         self._sharing.placed(live.run)
 
-    def note_first_event(self, live: LiveRun) -> None:
-        """Note that a prompt has been read, and how long that took."""
-        reading, live.reading = live.reading, None
-        if reading is not None:
-            seconds = asyncio.get_running_loop().time() - reading.since
-            self._rates.note(live.ex.service, reading.n_tokens, seconds)
-        self.share(live, is_reading=False)
+    def on_first_event(self, live: LiveRun) -> None:
+        """Record how long a prefill took, and announce that it has ended."""
+        prefill, live.prefill = live.prefill, None
+        if prefill is not None:
+            seconds = asyncio.get_running_loop().time() - prefill.started_at
+            self._rates.note(live.ex.service, prefill.n_queued_tokens, seconds)
+        self.announce(live, is_reading=False)
 
-    def forget_backup(self, live: LiveRun) -> None:
-        """Note that the engine that had a copy of a run goes."""
+    def clear_backup(self, live: LiveRun) -> None:
+        """Record and announce that a run has no backup any more."""
         live.backup = None
         if live.reg is not None:
-            self.share(live, is_reading=live.run.is_reading)
+            self.announce(live, is_reading=live.run.is_reading)
 
-    def move_target(
+    def choose_move_target(
         self, live: LiveRun, source: Registration, excluded: set[str]
     ) -> Registration | None:
-        """Return the best engine for a run that leaves another one."""
+        """Return the best engine for a run that is moved off another one."""
         demand = replace(
             self._demand(live),
             failure_domain=source.failure_domain,
--- a/celerytrail/relay/enginewatch.py
+++ b/celerytrail/relay/enginewatch.py
@@ -1,4 +1,4 @@
-"""Asks engines how they are, each by the one node that is its home for now."""
+"""Polls the load reports of engines, each from the one node that is its home."""
 
 from __future__ import annotations
 
@@ -15,40 +15,42 @@
 from .registry import Registry
 from .sharing import Sharing
 
-# Between two reports of one engine, in seconds, and while the store doesn't tell who
-# leaves.
+# Interval between two reports of one engine, in seconds, and the interval while the
+# store's data on leaving engines is stale.
 REPORT_SECONDS = 1.0
-UNSURE_REPORT_SECONDS = 0.25
-REPORT_DEADLINE_SECONDS = 0.5
+STALE_REPORT_SECONDS = 0.25
+REPORT_TIMEOUT_SECONDS = 0.5
 
 
 class EngineWatch:
-    """Reads the reports of the engines whose home this node is.
+    """Polls the reports of the engines whose home this node is.
 
-    They show memory and queues that no node's own list of runs explains. An engine that
-    is taken away within two seconds says so in the store and in its report; while the
-    store is away only the report is left, and it is read more often. One node asks each
-    engine and tells the others, so that the questions don't grow with the nodes.
+    Reports show memory use and queues that the nodes' lists of runs don't explain. An
+    engine that shuts down within two seconds states so in the store and in its report;
+    while the store is unavailable only the report is left, and it is polled more often.
+    One node polls each engine and announces the report to the others, so that the
+    number of requests doesn't grow with the number of nodes.
 
-    Nodes that are out of service ask as well: in a long outage of the store all of them
-    are, and an engine that nobody asks takes its drafts with it when it goes.
+    Nodes that are out of service poll as well: in a long outage of the store all of
+    them are, and the drafts of an engine that no node polls are lost when it shuts
+    down.
 
     Parameters
     ----------
     api : EngineApi
-        Asks engines.
+        Reads the reports.
     registry : Registry
-        Knows them.
+        Lists the engines.
     sharing : Sharing
-        Tells the others what engines say.
+        Announces the reports to the other nodes.
     nodes : Nodes
-        Ranks the homes.
+        The nodes among which homes are chosen.
     is_unsure : callable
-        Whether the store doesn't tell at this time who leaves.
+        Returns whether the store's data on leaving engines is stale.
     is_engine_service : callable
-        Whether a service's endpoints are engines.
+        Returns whether a service's endpoints are engines.
     on_leaving : callable
-        Called with an engine that says that it leaves.
+        Called with an engine whose report states that it leaves.
     """
 
     def __init__(
@@ -66,24 +68,24 @@
         self._registry = registry
         self._sharing = sharing
         self._nodes = nodes
-        self._is_unsure = is_unsure
+        self._is_store_stale = is_unsure
         self._is_engine_service = is_engine_service
         self._on_leaving = on_leaving
-        self._asking: set[str] = set()
+        self._pending: set[str] = set()
         self._homes = Homes()
 
     async def run(self) -> None:
-        """Ask until cancelled."""
+        """Poll until cancelled."""
         while True:
-            for reg in self._own():
-                if reg.endpoint not in self._asking:
-                    self._asking.add(reg.endpoint)
-                    asyncio.ensure_future(self._ask(reg))
-            is_unsure = self._is_unsure()
-            await asyncio.sleep(UNSURE_REPORT_SECONDS if is_unsure else REPORT_SECONDS)
+            for reg in self._homed_engines():
+                if reg.endpoint not in self._pending:
+                    self._pending.add(reg.endpoint)
+                    asyncio.ensure_future(self._read_report(reg))
+            is_stale = self._is_store_stale()
+            await asyncio.sleep(STALE_REPORT_SECONDS if is_stale else REPORT_SECONDS)
 
-    def _own(self) -> list[Registration]:
-        me = self._nodes.me.node
+    def _homed_engines(self) -> list[Registration]:
+        own_node = self._nodes.me.node
         regs = [
             reg
             for reg in self._registry.all()
@@ -91,14 +93,14 @@
         ]
         self._homes.keep(reg.endpoint for reg in regs)
         self._homes.set_nodes(member.node for member in self._nodes.running())
-        return [reg for reg in regs if self._homes.home(reg.endpoint) == me]
+        return [reg for reg in regs if self._homes.home(reg.endpoint) == own_node]
 
-    async def _ask(self, reg: Registration) -> None:
-        deadline = asyncio.get_running_loop().time() + REPORT_DEADLINE_SECONDS
+    async def _read_report(self, reg: Registration) -> None:
+        deadline = asyncio.get_running_loop().time() + REPORT_TIMEOUT_SECONDS
         try:
             answered = await self._api.report(reg, deadline)
         finally:
-            self._asking.discard(reg.endpoint)
+            self._pending.discard(reg.endpoint)
         if isinstance(answered, Err):
             log_message(
                 "relay:report:failed", endpoint=reg.endpoint, reason=answered.err_value
--- a/celerytrail/relay/events.py
+++ b/celerytrail/relay/events.py
@@ -1,4 +1,4 @@
-"""Splits a stream's bytes into whole events and reads their ids."""
+"""Splits a stream's bytes into complete events and reads their ids."""
 
 from __future__ import annotations
 
@@ -7,53 +7,53 @@
 
 _ID = re.compile(rb"(?:^|\n)id: ?([^\r\n]*)")
 _END = re.compile(rb"\r?\n\r?\n")
-# An event larger than this is no event, in bytes.
+# An event larger than this is invalid, in bytes.
 MAX_EVENT_BYTES = 1024 * 1024
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class StreamEvent:
-    """One whole event as it came, and its id where it has one."""
+    """One complete event as received, and its id if it has one."""
 
     data: bytes
     event_id: str | None
 
     @property
     def number(self) -> int | None:
-        """Return the id as a number, None where it is not one."""
+        """Return the id as a number, or None if it isn't one."""
         if self.event_id is None or not self.event_id.isdigit():
             return None
         return int(self.event_id)
 
 
 class EventSplitter:
-    """Holds back what is not yet a whole event.
+    """Buffers bytes until they form a complete event.
 
-    An engine may die in the middle of an event. Were the first half passed on, the
-    event could not be sent again whole when the stream goes on elsewhere.
+    An engine may fail in the middle of an event. If a partial event were relayed, the
+    event couldn't be sent again in full when the stream resumes elsewhere.
     """
 
     def __init__(self) -> None:
-        self._rest = b""
+        self._buffer = b""
 
     def feed(self, data: bytes) -> list[StreamEvent]:
-        """Take bytes and return the events that they complete."""
-        self._rest += data
+        """Add bytes and return the events that they complete."""
+        self._buffer += data
         events: list[StreamEvent] = []
         while True:
-            end = _END.search(self._rest)
+            end = _END.search(self._buffer)
             if end is None:
                 return events
-            whole, self._rest = self._rest[: end.end()], self._rest[end.end() :]
-            found = _ID.search(whole)
-            event_id = found[1].decode("latin-1").strip() if found else None
-            events.append(StreamEvent(data=whole, event_id=event_id))
+            event, self._buffer = self._buffer[: end.end()], self._buffer[end.end() :]
+            match = _ID.search(event)
+            event_id = match[1].decode("latin-1").strip() if match else None
+            events.append(StreamEvent(data=event, event_id=event_id))
 
     @property
     def is_empty(self) -> bool:
-        """Return whether nothing is held back."""
-        return not self._rest
+        """Return whether the buffer holds no partial event."""
+        return not self._buffer
 
     def clear(self) -> None:
-        """Drop the piece of an event that will never be whole."""
-        self._rest = b""
+        """Discard a partial event that won't be completed."""
+        self._buffer = b""
--- a/celerytrail/relay/exchange.py
+++ b/celerytrail/relay/exchange.py
@@ -1,4 +1,4 @@
-"""One request of a caller on its way through this node."""
+"""One request of a caller and the state of its processing at this node."""
 
 from __future__ import annotations
 
@@ -19,36 +19,36 @@
 T = TypeVar("T")
 
 
-class CallerGoneError(Exception):
-    """The caller left; nothing more is to be done for it."""
+class CallerDisconnectedError(Exception):
+    """The caller has disconnected; its request needs no further work."""
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Exchange:
-    """A request that a route and a key allow.
+    """A request that matches a route and has a valid key.
 
     Parameters
     ----------
     req, res : Request, Responder
-        The request and where its answer goes.
+        The request and where its answer is written.
     facts : CallerFacts
-        What its head says.
+        What its headers state.
     route : Route
-        The route that it is on.
+        The route that it matches.
     service : str
         The service that answers it.
     organisation : str or None
-        Who holds its key.
+        The organisation that holds its key.
     priority : int
-        How urgent it is, 0 first.
+        Its priority; 0 is the most urgent.
     arrived_at, deadline : float
-        Boot time of its arrival, and until which it must be answered.
-    may_pass : callable
-        Whether it may be passed on at this moment.
+        Boot time of its arrival, and of its deadline.
+    is_allowed : callable
+        Returns whether its route and key allow it to be sent on at this moment.
     metrics : Metrics
-        Counts its turning points.
+        Counts its events.
     clock : Clock
-        Tells how long it has been here.
+        Measures its age.
     """
 
     req: Request
@@ -60,7 +60,7 @@
     priority: int
     arrived_at: float
     deadline: float
-    may_pass: Callable[[], bool]
+    is_allowed: Callable[[], bool]
     metrics: Metrics
     clock: Clock
 
@@ -81,28 +81,28 @@
         return f"{req.path}?{req.query}" if req.query else req.path
 
     def may_send(self) -> bool:
-        """Return whether a byte of it may go out; to be asked right before.
+        """Return whether the request may be sent; checked right before the first byte.
 
-        Between a decision and the first byte the process may have stood still: the
-        key may have been taken away, or the caller's time may be over.
+        The process may have been suspended between the decision and the first byte; the
+        key may have been revoked or the deadline passed meanwhile.
         """
-        return self.may_pass() and self.seconds_left > 0
+        return self.is_allowed() and self.seconds_left > 0
 
-    def may_go_on(self) -> bool:
-        """Return whether a run that an engine has begun may go on at another one.
+    def can_continue(self) -> bool:
+        """Return whether a run that an engine has begun may continue at another one.
 
-        A key that was taken away lets no new request through; what runs already is
-        finished, as no change cuts work in progress.
+        A revoked key blocks new requests only; a run in progress is completed, as no
+        change of the configuration interrupts work in progress.
         """
         return self.seconds_left > 0
 
-    async def unless_gone(self, work: Coroutine[Any, Any, T]) -> T:
-        """Await some work, and cancel it as soon as the caller leaves.
+    async def run_while_connected(self, work: Coroutine[Any, Any, T]) -> T:
+        """Await a coroutine, and cancel it as soon as the caller disconnects.
 
         Raises
         ------
-        CallerGoneError
-            When the caller left first.
+        CallerDisconnectedError
+            If the caller disconnects first.
         """
         task = asyncio.ensure_future(work)
         waiting: list[asyncio.Future[Any]] = [task, self.res.lost]
@@ -115,18 +115,18 @@
             return task.result()
         task.cancel()
         await asyncio.wait({task})
-        raise CallerGoneError
+        raise CallerDisconnectedError
 
     def observe(self, name: str) -> None:
-        """Add the time since its arrival to a histogram."""
+        """Add the time since the request's arrival to a histogram."""
         self.observe_seconds(name, self.clock.boottime() - self.arrived_at)
 
     def observe_seconds(self, name: str, seconds: float) -> None:
-        """Add a time of this request to a histogram."""
+        """Add a duration of this request to a histogram."""
         self.metrics.observe(name, seconds, route=self.route.name)
 
     def log(self, event: str, **fields: object) -> None:
-        """Write a line about this request, and count it by its cause."""
+        """Log an event of this request, and count it by its cause."""
         cause = fields.get("reason", fields.get("status", ""))
         self.metrics.count("relay_events", event=event, cause=str(cause))
         log_message(
@@ -147,7 +147,7 @@
     retry_after: float | None = None,
     close: bool = False,
 ) -> None:
-    """Send a final answer of this node's own."""
+    """Send an error answer that this node generates itself."""
     headers = {}
     if attempt_id:
         headers[wire.ATTEMPT_HEADER] = attempt_id
--- a/celerytrail/relay/generations.py
+++ b/celerytrail/relay/generations.py
@@ -1,4 +1,4 @@
-"""Requests to model engines: one stream each, carried from engine to engine."""
+"""Relays generations: one event stream for each caller, over one or more engines."""
 
 from __future__ import annotations
 
@@ -18,21 +18,21 @@
 from .engineopener import EngineOpener
 from .engineplacer import EnginePlacer
 from .events import EventSplitter, StreamEvent
-from .exchange import CallerGoneError, Exchange, refuse
+from .exchange import CallerDisconnectedError, Exchange, refuse
 from .liverun import Copied, Failed, LiveRun, Refused, Switched
 from .sharing import Sharing
 
-# How many engines are asked that refuse before the caller is told to come back.
-MAX_REFUSED = 3
-# What the client says of an endpoint that no connection could be made to.
-UNREACHABLE = ("connect_refused", "connect_timeout")
-# When to come back after engines were full, in seconds: about as long as a short
-# answer takes to free its place.
+# Engines that may refuse a generation before it is refused to the caller.
+MAX_REFUSALS = 3
+# The HTTP client's reasons when it couldn't connect to an endpoint.
+UNREACHABLE_REASONS = ("connect_refused", "connect_timeout")
+# Retry-After when engines are full, in seconds: about as long as a short answer takes
+# to free its slot.
 FULL_RETRY_SECONDS = 0.7
 
 
 class Generations:
-    """Places generations, relays their events, and takes broken ones up again.
+    """Places generations, relays their events and resumes broken ones.
 
     Parameters
     ----------
@@ -41,13 +41,13 @@
     opener : EngineOpener
         Opens streams.
     departures : Departures
-        Carries runs off engines that leave.
+        Moves runs off engines that leave.
     sharing : Sharing
-        Tells the other nodes.
+        Announces runs to the other nodes.
     budget : RetryBudget
-        Bounds what is sent again.
+        Bounds repeated requests.
     rng : random.Random
-        Names runs.
+        Generates run ids.
     """
 
     def __init__(
@@ -62,7 +62,7 @@
     ) -> None:
         self._placer = placer
         self._opener = opener
-        self._departures = departures
+        self._run_mover = departures
         self._sharing = sharing
         self._budget = budget
         self._rng = rng
@@ -70,11 +70,11 @@
 
     @property
     def n_live(self) -> int:
-        """Return how many generations are on their way."""
+        """Return the number of generations in progress."""
         return len(self._live)
 
     async def relay(self, ex: Exchange, engine: EngineFacts) -> None:
-        """Answer a request by one generation."""
+        """Answer a request with a generation."""
         now = asyncio.get_running_loop().time()
         self._budget.note_request(ex.service, now)
         facts = ex.facts
@@ -88,11 +88,12 @@
         live = LiveRun(ex=ex, engine=engine, run=run)
         self._live.add(live)
         try:
-            await ex.unless_gone(self._carry(live))
-        except CallerGoneError:
+            await ex.run_while_connected(self._run_generation(live))
+        except CallerDisconnectedError:
             ex.log("caller_gone", n_events=live.n_events)
         except PeerError as exc:
-            # What was begun can't be finished, and must not look whole.
+            # The answer has begun and can't be completed; aborting marks it as
+            # incomplete.
             ex.res.abort()
             ex.log("caller_lost", problem=str(exc), n_events=live.n_events)
         finally:
@@ -103,31 +104,31 @@
                 )
             if live.stream is not None:
                 live.stream.close()
-            self._departures.drop_move(live)
-            if not live.is_whole and live.reg is not None:
-                self._departures.drop_backup(live, live.reg)
+            self._run_mover.discard_move(live)
+            if not live.is_complete and live.reg is not None:
+                self._run_mover.free_backup(live, live.reg)
             if live.run.endpoint:
                 self._sharing.ended(live.run.run_id)
 
     def on_leaving(self, reg: Registration) -> None:
-        """Carry what runs on an engine that leaves to others."""
-        self._departures.on_leaving(reg, self._live)
+        """Move the runs of a leaving engine to others."""
+        self._run_mover.on_leaving(reg, self._live)
 
     def note_progress(self) -> None:
-        """Note how far the runs are, for the next list that the other nodes get."""
+        """Report the progress of the runs and move those that need it."""
         for live in self._live:
-            self._departures.look_at(live)
+            self._run_mover.move_if_needed(live)
             if live.run.endpoint:
                 n_made = live.n_events * live.engine.n_event_tokens
                 live.run = replace(live.run, n_made_tokens=n_made)
                 self._sharing.progressed(live.run)
 
-    # Carrying.
+    # The life of a generation.
 
-    async def _carry(self, live: LiveRun) -> None:
-        started = await self._start(live)
+    async def _run_generation(self, live: LiveRun) -> None:
+        started = await self._open_first_stream(live)
         if isinstance(started, Err):
-            await self._end_unstarted(live, started.err_value)
+            await self._refuse_unstarted(live, started.err_value)
             return
         live.stream = started.ok_value
         if not wire.is_own_answer(live.stream.headers):
@@ -137,38 +138,40 @@
             )
             return
         if live.stream.status != 200:
-            await self._pass_whole(live, live.stream)
+            await self._send_whole_answer(live, live.stream)
             return
-        await self._pass_events(live)
+        await self._relay_events(live)
 
-    async def _end_unstarted(self, live: LiveRun, end: Refused | Failed) -> None:
+    async def _refuse_unstarted(self, live: LiveRun, outcome: Refused | Failed) -> None:
         ex = live.ex
         attempt = ex.facts.attempt_id
-        if isinstance(end, Refused):
-            ex.log("refused", reason=end.reason)
+        if isinstance(outcome, Refused):
+            ex.log("refused", reason=outcome.reason)
             await refuse(
                 ex.res,
                 503,
-                end.reason,
+                outcome.reason,
                 attempt_id=attempt,
                 retry_after=FULL_RETRY_SECONDS,
             )
             return
-        status = 504 if end.reason in ("timeout", "stalled") else 502
-        ex.log("failed", reason=end.reason, status=status)
-        await refuse(ex.res, status, end.reason, attempt_id=attempt)
+        status = 504 if outcome.reason in ("timeout", "stalled") else 502
+        ex.log("failed", reason=outcome.reason, status=status)
+        await refuse(ex.res, status, outcome.reason, attempt_id=attempt)
 
-    async def _start(self, live: LiveRun) -> Result[Stream, Refused | Failed]:
-        """Find an engine that takes the generation.
+    async def _open_first_stream(
+        self, live: LiveRun
+    ) -> Result[Stream, Refused | Failed]:
+        """Open a stream at an engine that accepts the generation.
 
-        A crashed engine's row stays for seconds, and to every node it looks the
-        emptiest. Were its refused connections counted as tries, three such engines
-        would have a draft refused while others are free.
+        The registration of a crashed engine remains for seconds, and to every node it
+        looks like the least loaded one. If refused connections counted as tries, three
+        such engines would make a draft fail while others are free.
         """
         ex = live.ex
         excluded: set[str] = set()
         n_sent = n_tries = 0
-        while n_tries < MAX_REFUSED:
+        while n_tries < MAX_REFUSALS:
             reg = await self._placer.place(live, excluded)
             if reg is None:
                 return Err(Refused(reason="no_room"))
@@ -179,31 +182,31 @@
             if isinstance(opened, Ok):
                 return opened
             if isinstance(opened.err_value, Failed):
-                return await self._start_again(live, opened.err_value)
+                return await self._resume_unanswered(live, opened.err_value)
             refused = opened.err_value
             excluded.add(reg.endpoint)
             if refused.was_sent:
                 n_sent += 1
-            elif refused.reason in UNREACHABLE:
-                self._placer.note_unreachable(reg)
+            elif refused.reason in UNREACHABLE_REASONS:
+                self._placer.record_unreachable(reg)
             else:
-                # The key was taken away, or the caller's time is over.
+                # The key was revoked, or the caller's deadline has passed.
                 return Err(refused)
             if refused.reason != "connect_refused":
                 n_tries += 1
         return Err(Refused(reason="engines_refused"))
 
-    async def _start_again(
+    async def _resume_unanswered(
         self, live: LiveRun, failed: Failed
     ) -> Result[Stream, Refused | Failed]:
-        """Go on after an engine was lost before its answer began."""
+        """Resume a run whose engine failed before its answer began."""
         resumed = await self._resume(live, failed.reason)
         if resumed is None:
             return Err(failed)
         return Ok(resumed)
 
-    async def _pass_whole(self, live: LiveRun, stream: Stream) -> None:
-        """Pass on an answer that is no stream of events."""
+    async def _send_whole_answer(self, live: LiveRun, stream: Stream) -> None:
+        """Send the caller an answer that isn't a stream of events."""
         ex = live.ex
         body = await stream.read(ex.loop_deadline)
         attempt = ex.facts.attempt_id
@@ -215,24 +218,24 @@
         headers = wire.answer_headers(stream.headers)
         await ex.res.send(stream.status, body.ok_value, headers)
 
-    async def _pass_events(self, live: LiveRun) -> None:
-        """Pass events on as they come, over as many engines as it takes."""
+    async def _relay_events(self, live: LiveRun) -> None:
+        """Relay events as they arrive, over as many engines as needed."""
         ex = live.ex
         assert live.stream is not None
         ex.res.start(live.stream.status, wire.answer_headers(live.stream.headers))
         splitter = EventSplitter()
         while True:
-            piece = await live.stream.next_chunk(ex.loop_deadline)
-            if isinstance(piece, Ok):
-                if piece.ok_value is None:
+            chunk = await live.stream.next_chunk(ex.loop_deadline)
+            if isinstance(chunk, Ok):
+                if chunk.ok_value is None:
                     break
-                for event in splitter.feed(piece.ok_value):
-                    await self._pass_event(live, event)
+                for event in splitter.feed(chunk.ok_value):
+                    await self._relay_event(live, event)
                 continue
             splitter.clear()
-            resumed = await self._resume(live, piece.err_value.reason)
+            resumed = await self._resume(live, chunk.err_value.reason)
             if resumed is None or resumed.status != 200:
-                ex.log("cut", reason=piece.err_value.reason, n_events=live.n_events)
+                ex.log("cut", reason=chunk.err_value.reason, n_events=live.n_events)
                 ex.res.abort()
                 return
             live.stream = resumed
@@ -240,7 +243,7 @@
             ex.log("cut", reason="torn_event", n_events=live.n_events)
             ex.res.abort()
             return
-        live.is_whole = True
+        live.is_complete = True
         await ex.res.finish()
         ex.observe("relay_answer")
         ex.observe_seconds("relay_longest_pause", live.longest_pause)
@@ -252,39 +255,44 @@
             longest_pause=round(live.longest_pause, 3),
         )
 
-    async def _pass_event(self, live: LiveRun, event: StreamEvent) -> None:
+    async def _relay_event(self, live: LiveRun, event: StreamEvent) -> None:
         number = event.number
         if number is not None:
             if live.last_number is not None and number <= live.last_number:
-                # A run that goes on from a copy may say again what the caller has.
+                # A run that resumes from a copy may repeat events that the caller
+                # already has.
                 return
             if live.n_runs > 1 and live.is_gap(number):
-                raise PeerError("a run that goes on left out events")
+                raise PeerError("events are missing after a run was resumed")
             live.last_number = number
         if event.event_id is not None:
             live.last_event_id = event.event_id
         if live.run.is_reading:
-            self._placer.note_first_event(live)
+            self._placer.on_first_event(live)
             live.ex.observe("relay_first_event")
-        live.note_event()
+        live.record_event()
         await live.ex.res.write(event.data)
 
-    # Going on elsewhere.
+    # Resuming at another engine.
 
     async def _resume(self, live: LiveRun, reason: str) -> Stream | None:
-        """Take a run up again after its stream broke or was moved."""
+        """Resume a run after its stream broke or was moved."""
         live.is_resuming = True
         try:
-            return await self._go_on(live, reason)
+            return await self._open_next_stream(live, reason)
         finally:
             live.is_resuming = False
 
-    async def _go_on(self, live: LiveRun, reason: str) -> Stream | None:
+    async def _open_next_stream(self, live: LiveRun, reason: str) -> Stream | None:
+        """Open a stream at the next engine, from a copy where one exists.
+
+        Without a usable copy, a resumable request runs again at another engine.
+        """
         ex = live.ex
-        former = live.reg
-        moved = await self._finished_move(live)
+        previous_reg = live.reg
+        moved = await self._take_finished_move(live)
         if isinstance(moved, Switched):
-            self._note_move(live, moved.reg)
+            self._on_moved(live, moved.reg)
             return moved.stream
         copied = moved
         has_backup = live.backup is not None and live.backup != live.reg
@@ -293,7 +301,7 @@
             name = wire.copy_name(live.backup.address, ex.facts.attempt_id)
             copied = Copied(reg=live.backup, name=name)
         if copied is not None:
-            self._note_move(live, copied.reg)
+            self._on_moved(live, copied.reg)
             opened = await self._opener.open(live, copied.reg, None, copied.name)
             if isinstance(opened, Ok):
                 ex.log("resumed", reason=reason, endpoint=copied.reg.endpoint)
@@ -304,7 +312,9 @@
         now = asyncio.get_running_loop().time()
         if not self._budget.take(ex.service, now):
             return None
-        reg = await self._placer.place(live, {former.endpoint} if former else set())
+        reg = await self._placer.place(
+            live, {previous_reg.endpoint} if previous_reg else set()
+        )
         if reg is None:
             return None
         opened = await self._opener.open(live, reg, live.backup)
@@ -313,21 +323,21 @@
         ex.log("run_again", reason=reason, endpoint=reg.endpoint)
         return opened.ok_value
 
-    async def _finished_move(self, live: LiveRun) -> Copied | Switched | None:
+    async def _take_finished_move(self, live: LiveRun) -> Copied | Switched | None:
         if live.move is None:
             return None
         move, live.move = live.move, None
         return await move
 
-    def _note_move(self, live: LiveRun, reg: Registration) -> None:
-        """Note that a run goes on at another engine.
+    def _on_moved(self, live: LiveRun, reg: Registration) -> None:
+        """Record that a run continues at another engine.
 
-        It gets no new copy elsewhere. Several runs go on at the same moment, when an
-        engine leaves; were all of them copied whole once more, those that still have to
-        be moved would wait for the links until their engine is gone.
+        It gets no new backup. When an engine leaves, several runs resume at the same
+        moment; copying all of them again in full would keep the links busy until the
+        engine is gone, and the runs that still have to be moved would be lost.
         """
-        self._departures.drop_backup(live, reg)
+        self._run_mover.free_backup(live, reg)
         live.backup = None
         live.reg = reg
-        live.begin_engine()
-        self._placer.share(live, is_reading=False)
+        live.on_engine_changed()
+        self._placer.announce(live, is_reading=False)
--- a/celerytrail/relay/handler.py
+++ b/celerytrail/relay/handler.py
@@ -1,4 +1,4 @@
-"""Answers callers: finds the route, checks the key, hands on to whoever serves it."""
+"""Handles callers' requests: finds the route, checks the key and dispatches them."""
 
 from __future__ import annotations
 
@@ -20,43 +20,44 @@
 from .exchange import Exchange, refuse
 from .generations import Generations
 
-# When to come back to the system where only this node can't serve, in seconds: another
-# address is worth trying at once.
-ELSEWHERE_SECONDS = 0.1
-# When to come back where no other node serves either, in seconds: the store is away for
-# all, and outages last seconds. Told to come back at once, callers used up their tries
-# while it lasted, and a third of them were refused for good.
-OUTAGE_SECONDS = 2.0
-# What engines take as the least urgent.
+# Retry-After when other nodes serve, in seconds: the caller can try another address at
+# once.
+OTHER_NODE_RETRY_SECONDS = 0.1
+# Retry-After when no other node serves, in seconds: the store is then unavailable to
+# all nodes, and outages last seconds. With a short value callers used up their tries
+# during the outage, and a third of them were refused for good.
+OUTAGE_RETRY_SECONDS = 2.0
+# The least urgent priority that engines accept.
 MAX_PRIORITY = 9
-# How long a caller is reckoned to wait where it states nothing, in seconds.
+# Time budget of a request whose caller states none, in seconds.
 DEFAULT_BUDGET_SECONDS = 60.0
 
 
 class RelayHandler(Handler):
-    """Takes callers' requests.
+    """Handles callers' requests.
 
     Parameters
     ----------
     config : callable
         Returns the configuration in force, None before the first.
     freshness : Freshness
-        Tells whether keys may be acted on, and what is not known may be denied.
+        Whether the known keys are recent enough to be used, and whether an unknown
+        route or key may be denied.
     calls : PlainCalls
-        Serves plain services.
+        Relays requests to plain services.
     generations : Generations
-        Serves model engines.
+        Relays requests to model engines.
     has_others : callable
-        Whether another node serves callers.
+        Returns whether another node serves callers.
     killed_at : callable
-        Returns when this node will be killed, in loop time; None while it isn't asked
-        to stop.
+        Returns the loop time at which this node will be killed, None unless it is
+        stopping.
     clock : Clock
-        Dates arrivals and deadlines.
+        Timestamps arrivals and deadlines.
     rng : random.Random
         Splits traffic between services.
     metrics : Metrics
-        Counts what becomes of requests.
+        Counts requests by outcome.
     """
 
     def __init__(
@@ -88,19 +89,23 @@
         cfg = self._config()
         facts = wire.caller_facts(req)
         if cfg is None:
-            await self._refuse(res, facts, 503, "no_configuration", is_elsewhere=True)
+            await self._refuse(
+                res, facts, 503, "no_configuration", can_retry_elsewhere=True
+            )
             return
         route = cfg.find_route(req.headers.get("host", ""), req.path)
         if route is None:
             await self._deny(res, facts, 404, "no_route")
             return
-        holder: OrganisationKey | None = None
+        key_holder: OrganisationKey | None = None
         if cfg.keys is not None and not route.is_public:
             if not self._freshness.is_usable:
-                await self._refuse(res, facts, 503, "keys_unknown", is_elsewhere=True)
+                await self._refuse(
+                    res, facts, 503, "keys_unknown", can_retry_elsewhere=True
+                )
                 return
-            holder = cfg.keys.get(facts.key or "")
-            if holder is None:
+            key_holder = cfg.keys.get(facts.key or "")
+            if key_holder is None:
                 await self._deny(res, facts, 401, "unknown_key")
                 return
         budget = facts.budget_seconds
@@ -111,34 +116,38 @@
             res=res,
             facts=facts,
             route=route,
-            service=self._service(route),
-            organisation=holder.organisation if holder else None,
-            priority=_priority(route, holder),
+            service=self._choose_service(route),
+            organisation=key_holder.organisation if key_holder else None,
+            priority=_priority(route, key_holder),
             arrived_at=arrived_at,
             deadline=arrived_at + min(budget, route.timeout_seconds),
-            may_pass=self._guard(route, facts),
+            is_allowed=self._make_allowed_check(route, facts),
             metrics=self._metrics,
             clock=self._clock,
         )
         service = cfg.services.get(ex.service)
         if service is not None and service.engine is not None:
-            if self._is_too_late_for(facts):
-                await self._refuse(res, facts, 503, "stopping", is_elsewhere=True)
+            if self._is_killed_before_end(facts):
+                await self._refuse(
+                    res, facts, 503, "stopping", can_retry_elsewhere=True
+                )
                 return
             await self._generations.relay(ex, service.engine)
         else:
             await self._calls.relay(ex)
 
-    def _is_too_late_for(self, facts: CallerFacts) -> bool:
+    def _is_killed_before_end(self, facts: CallerFacts) -> bool:
         killed_at = self._killed_at()
         if killed_at is None:
             return False
         return not can_finish(facts, asyncio.get_running_loop().time(), killed_at)
 
-    def _guard(self, route: Route, facts: CallerFacts) -> Callable[[], bool]:
-        """Return whether a request may still be passed on, asked at that moment."""
+    def _make_allowed_check(
+        self, route: Route, facts: CallerFacts
+    ) -> Callable[[], bool]:
+        """Return a check whether a request may still be sent on when it is called."""
 
-        def may_pass() -> bool:
+        def is_allowed() -> bool:
             cfg = self._config()
             if cfg is None:
                 return False
@@ -146,9 +155,9 @@
                 return True
             return self._freshness.is_usable and (facts.key or "") in cfg.keys
 
-        return may_pass
+        return is_allowed
 
-    def _service(self, route: Route) -> str:
+    def _choose_service(self, route: Route) -> str:
         if len(route.shares) == 1:
             return route.shares[0].service
         names = [share.service for share in route.shares]
@@ -160,12 +169,12 @@
     async def _deny(
         self, res: Responder, facts: CallerFacts, status: int, reason: str
     ) -> None:
-        """Refuse for good what is not in force; as not run where it may be by now."""
+        """Refuse with ``status``, or as retryable if the configuration may be stale."""
         if self._freshness.may_deny:
             await self._refuse(res, facts, status, reason)
         else:
             await self._refuse(
-                res, facts, 503, "configuration_unsure", is_elsewhere=True
+                res, facts, 503, "configuration_unsure", can_retry_elsewhere=True
             )
 
     async def _refuse(
@@ -175,7 +184,7 @@
         status: int,
         reason: str,
         *,
-        is_elsewhere: bool = False,
+        can_retry_elsewhere: bool = False,
     ) -> None:
         self._metrics.count("relay_events", event="refused", cause=reason)
         cfg = self._config()
@@ -189,21 +198,23 @@
             knowledge_source=self._freshness.source or "store",
         )
         retry_after = None
-        if is_elsewhere:
-            retry_after = ELSEWHERE_SECONDS if self._has_others() else OUTAGE_SECONDS
+        if can_retry_elsewhere:
+            retry_after = (
+                OTHER_NODE_RETRY_SECONDS if self._has_others() else OUTAGE_RETRY_SECONDS
+            )
         await refuse(
             res,
             status,
             reason,
             attempt_id=facts.attempt_id,
             retry_after=retry_after,
-            close=is_elsewhere,
+            close=can_retry_elsewhere,
         )
 
 
-def _priority(route: Route, holder: OrganisationKey | None) -> int:
-    """Return how urgent a request is; an organisation's rank goes first."""
+def _priority(route: Route, key_holder: OrganisationKey | None) -> int:
+    """Return a request's priority; an organisation's own takes precedence."""
     priority = route.priority
-    if holder is not None and holder.priority is not None:
-        priority = holder.priority
+    if key_holder is not None and key_holder.priority is not None:
+        priority = key_holder.priority
     return max(0, min(MAX_PRIORITY, priority))
--- a/celerytrail/relay/liverun.py
+++ b/celerytrail/relay/liverun.py
@@ -1,4 +1,4 @@
-"""A generation on its way, and what may become of it."""
+"""A generation in progress, and the outcomes of sending or moving it."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Copied:
-    """A run's memory lies ready: where to go on, and by which name."""
+    """A run's memory was copied: the engine to resume at, and the name of the copy."""
 
     reg: Registration
     name: str
@@ -22,7 +22,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Switched:
-    """A run already goes on elsewhere."""
+    """A run already continues at another engine."""
 
     reg: Registration
     stream: Stream
@@ -30,7 +30,10 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Refused:
-    """An engine has not run it; ``was_sent`` says whether it got to see the request."""
+    """An engine hasn't run the request.
+
+    ``was_sent`` is True if the engine received it.
+    """
 
     reason: str
     was_sent: bool = False
@@ -38,21 +41,21 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Failed:
-    """An engine may have run it, and it can't go on."""
+    """An engine may have run the request, and it can't be continued there."""
 
     reason: str
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
-class Reading:
-    """A prompt that is being read: the tokens queued with it, and since when."""
+class Prefill:
+    """A prefill in progress: the prompt tokens queued up to its end, and its start."""
 
-    n_tokens: int
-    since: float
+    n_queued_tokens: int
+    started_at: float
 
 
 class LiveRun:
-    """A generation on its way, with what is needed to carry it elsewhere.
+    """A generation in progress, with the state needed to move it to another engine.
 
     Parameters
     ----------
@@ -61,7 +64,7 @@
     engine : EngineFacts
         What the engines of its service have in common.
     run : Run
-        What the other nodes are told of it.
+        The description announced to the other nodes.
     """
 
     def __init__(self, *, ex: Exchange, engine: EngineFacts, run: Run) -> None:
@@ -73,13 +76,13 @@
         self.stream: Stream | None = None
         self.last_event_id: str | None = ex.facts.last_event_id
         self.last_number: int | None = None
-        # Until the first event of its first engine.
-        self.reading: Reading | None = None
+        # Set until the first event of the first engine arrives.
+        self.prefill: Prefill | None = None
         self.n_events = 0
         self.n_runs = 0
-        # Whether its former stream ended and the next one is not there yet.
+        # True between the end of one stream and the start of the next.
         self.is_resuming = False
-        self.is_whole = False
+        self.is_complete = False
         self.move: asyncio.Task[Copied | Switched | None] | None = None
         self.started = asyncio.Event()
         self._first_event_at = 0.0
@@ -87,8 +90,8 @@
         self.longest_pause = 0.0
         self.pauses = TimeCounts()
 
-    def note_event(self) -> None:
-        """Note that an event came."""
+    def record_event(self) -> None:
+        """Record the arrival of an event."""
         now = asyncio.get_running_loop().time()
         if self.n_events:
             pause = now - self._last_event_at
@@ -101,21 +104,21 @@
         self.n_events += 1
 
     def is_gap(self, number: int) -> bool:
-        """Return whether events between the last one and this are missing."""
+        """Return whether events are missing between the last one and this one."""
         return self.last_number is not None and number > self.last_number + 1
 
     @property
     def silent_seconds(self) -> float:
-        """Return how long no event came since one did; 0 before the first."""
+        """Return the time since the last event; 0 before an engine's first one."""
         if not self.started.is_set():
             return 0.0
         return asyncio.get_running_loop().time() - self._last_event_at
 
     @property
     def age_seconds(self) -> float:
-        """Return how long ago the engine's first event came."""
+        """Return the time since the engine's first event."""
         return asyncio.get_running_loop().time() - self._first_event_at
 
-    def begin_engine(self) -> None:
-        """Note that another engine works on it, which has sent nothing yet."""
+    def on_engine_changed(self) -> None:
+        """Record that another engine now runs it, which hasn't sent an event yet."""
         self.started.clear()
--- a/tests/test_relay_node.py
+++ b/tests/test_relay_node.py
@@ -11,7 +11,7 @@
 
 from celerytrail.http.client import HttpClient
 from celerytrail.policies.endpointchoice import TELL_SECONDS
-from celerytrail.relay.handler import ELSEWHERE_SECONDS, OUTAGE_SECONDS
+from celerytrail.relay.handler import OTHER_NODE_RETRY_SECONDS, OUTAGE_RETRY_SECONDS
 from celerytrail.rowsource import RowSource, StoreUnavailable
 from standins.worker import EngineWorker, WorkerFaults
 from tests.relayrig import (
@@ -222,11 +222,11 @@
         await until(lambda: not one.nodes.live() and not two.nodes.live())
         res = await rig.ask("/file/1", node=one)
         assert res.status == 503
-        assert float(res.headers["retry-after"]) == OUTAGE_SECONDS
+        assert float(res.headers["retry-after"]) == OUTAGE_RETRY_SECONDS
         two.nodes.set_serving(True)
         await until(lambda: one.nodes.live())
         res = await rig.ask("/file/1", node=one)
-        assert float(res.headers["retry-after"]) == ELSEWHERE_SECONDS
+        assert float(res.headers["retry-after"]) == OTHER_NODE_RETRY_SECONDS
 
     async def test_before_the_first_configuration_it_refuses_as_not_run(self, rig):
         rig.store.drop("op", "config")
@@ -352,7 +352,7 @@
         headers = rig.headers(**{"x-token-count": "3000,900"})
         refused = await rig.ask("/draft/1", node=node, headers=headers)
         assert refused.status == 503
-        assert float(refused.headers["retry-after"]) == ELSEWHERE_SECONDS
+        assert float(refused.headers["retry-after"]) == OTHER_NODE_RETRY_SECONDS
         assert not engine.seen
         again = rig.headers(**{"x-token-count": "3000,900"})
         asked = asyncio.ensure_future(rig.ask("/draft/1", node=other, headers=again))
