--- a/celerytrail/relay/handler.py
+++ b/celerytrail/relay/handler.py
@@ -145,7 +145,7 @@
     def _make_allowed_check(
         self, route: Route, facts: CallerFacts
     ) -> Callable[[], bool]:
-        """Return a check whether a request may still be sent on when it is called."""
+        """Return a function that checks whether a request may still be sent on."""
 
         def is_allowed() -> bool:
             cfg = self._config()
--- a/tests/relayrig.py
+++ b/tests/relayrig.py
@@ -1,4 +1,4 @@
-"""A node on the platform's published protocol, with stand-ins around it."""
+"""Runs nodes on the platform's published protocol, with stand-ins for the rest."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 HOST = "desk.example"
 KEY = "key-of-org"
-# Far beyond what any step takes, in seconds; a test that hangs fails by it.
+# Upper limit for any step, in seconds; a test that hangs fails after it.
 PATIENCE_SECONDS = 20.0
 
 
@@ -30,16 +30,16 @@
 
 
 def node_host(number: int, pid: int) -> str:
-    """Return the loopback address of a node, one that no other run of the tests has.
+    """Return the loopback address of a node, unique among concurrent test runs.
 
-    A free port is looked for on 127.0.0.1 only. With the same hosts in two runs beside
-    each other, a node of one could choose a port that a node of the other has.
+    Free ports are searched on 127.0.0.1 only. If two concurrent runs used the same
+    hosts, a node of one run could choose a port that a node of the other run uses.
     """
     high, low = divmod(pid, 250)
     return f"127.{1 + high % 250}.{1 + low}.{10 + number}"
 
 
-def route(name: str, kind: str, service: str, **more: object) -> dict[str, object]:
+def route(name: str, kind: str, service: str, **extra: object) -> dict[str, object]:
     return {
         "name": name,
         "hostname": HOST,
@@ -49,11 +49,11 @@
         "target-latency-ms": 5_000,
         "service": service,
         "max-attempts": 1,
-        **more,
+        **extra,
     }
 
 
-def config(version: int = 1, **more: object) -> dict[str, object]:
+def config(version: int = 1, **extra: object) -> dict[str, object]:
     engine = {
         "slots": 8,
         "kv-capacity-tokens": 30_000,
@@ -75,21 +75,21 @@
         ],
         "services": [{"name": "models", "engine": engine}, {"name": "desk"}],
         "tenants": [{"name": "org", "api-keys": [KEY]}],
-        **more,
+        **extra,
     }
 
 
 @dataclass(kw_only=True)
 class Rig:
-    """A store, workers and nodes; closed all together."""
+    """A store, workers and nodes, all of which ``close`` shuts down."""
 
     store: RowStore = field(default_factory=RowStore)
     nodes: list[RelayNode] = field(default_factory=list)
     workers: list[Worker] = field(default_factory=list)
     client: HttpClient = field(default_factory=lambda: HttpClient(id_header=None))
     store_address: Address = local(1)
-    news_port: int = field(default_factory=lambda: free_address().port)
-    _n_asked: int = 0
+    datagram_port: int = field(default_factory=lambda: free_address().port)
+    _n_requests: int = 0
     _n_started: int = 0
 
     async def start(self) -> None:
@@ -115,17 +115,17 @@
         self.store.put("servers", name, engine.row("models"))
         return engine
 
-    async def add_desk(self, name: str) -> PlainWorker:
-        desk = PlainWorker(worker_id=name)
-        await desk.start()
-        self.workers.append(desk)
-        self.store.put("servers", name, desk.row("desk"))
-        return desk
+    async def add_plain_worker(self, name: str) -> PlainWorker:
+        worker = PlainWorker(worker_id=name)
+        await worker.start()
+        self.workers.append(worker)
+        self.store.put("servers", name, worker.row("desk"))
+        return worker
 
     async def add_node(
-        self, name: str = "vm-1", store: RowSource | None = None, **more: object
+        self, name: str = "vm-1", store: RowSource | None = None, **extra: object
     ) -> RelayNode:
-        # Nodes find one another's news by one port on different addresses.
+        # Nodes exchange datagrams through one port number on different addresses.
         host = node_host(self._n_started, os.getpid())
         self._n_started += 1
         seeds = tuple(node.cfg.peers for node in self.nodes if node.cfg.peers)
@@ -137,33 +137,33 @@
             "readiness": Address(host=host, port=free_address().port),
             "peers": Address(host=host, port=free_address().port),
             "directory": Address(host=host, port=free_address().port),
-            "peer_ports": (self.news_port, 0),
+            "peer_ports": (self.datagram_port, 0),
             "seeds": seeds,
             "store": self.store_address,
             "retry_slack": 100.0,
-            **more,
+            **extra,
         }
         cfg = RelaySettings(**fields)  # type: ignore[arg-type]
         node = RelayNode(cfg=cfg, rng=random.Random(self._n_started - 1), store=store)
         await node.start()
         self.nodes.append(node)
-        await until(lambda: node.is_ready)
+        await wait_until(lambda: node.is_ready)
         return node
 
-    def headers(self, key: str | None = KEY, **more: str) -> dict[str, str]:
-        self._n_asked += 1
+    def headers(self, key: str | None = KEY, **extra: str) -> dict[str, str]:
+        self._n_requests += 1
         headers = {
             "host": HOST,
-            "x-attempt-id": f"attempt-{self._n_asked}",
+            "x-attempt-id": f"attempt-{self._n_requests}",
             "x-time-budget-ms": "15000",
             "x-token-count": "1000,100",
-            **more,
+            **extra,
         }
         if key is not None:
             headers["authorization"] = f"Bearer {key}"
         return headers
 
-    async def ask(
+    async def request(
         self,
         path: str,
         method: str = "POST",
@@ -172,7 +172,7 @@
         node: RelayNode | None = None,
         headers: dict[str, str] | None = None,
     ) -> Response:
-        """Ask a node as a caller does, and return its whole answer."""
+        """Send a request as a caller does, and check the id of its answer."""
         headers = headers or self.headers()
         address = (node or self.nodes[0]).cfg.callers
         assert address is not None
@@ -189,25 +189,25 @@
         return res
 
     async def metrics(self, node: RelayNode) -> str:
-        """Return what a node shows of its metrics."""
+        """Return a node's metrics in text form."""
         assert node.cfg.peers is not None
         answered = await self.client.request(node.cfg.peers, "GET", "/metrics")
         return answered.unwrap().body.decode()
 
 
-async def until(is_so, *, seconds: float = PATIENCE_SECONDS) -> None:
-    """Wait until something is so."""
+async def wait_until(condition, *, seconds: float = PATIENCE_SECONDS) -> None:
+    """Wait until a condition holds; raise ``TimeoutError`` after ``seconds``."""
     async with asyncio.timeout(seconds):
-        while not is_so():
+        while not condition():
             await asyncio.sleep(0.01)
 
 
-def events_of(body: bytes) -> list[bytes]:
-    """Return the events of a stream."""
+def split_events(body: bytes) -> list[bytes]:
+    """Split the body of a stream into its events."""
     return [event for event in body.split(b"\n\n") if event]
 
 
-def whole_stream(n_events: int) -> list[bytes]:
+def expected_events(n_events: int) -> list[bytes]:
     return [f"id: {n}\ndata: word {n}".encode() for n in range(n_events)]
 
 
--- a/tests/test_relay_http.py
+++ b/tests/test_relay_http.py
@@ -1,4 +1,4 @@
-"""What the HTTP plumbing promises to whoever relays."""
+"""Tests the guarantees of the HTTP client and server that the relay depends on."""
 
 from __future__ import annotations
 
@@ -18,19 +18,19 @@
 
 
 async def raw_server(answer: bytes, *, reset_when: asyncio.Event | None = None):
-    """Answer each connection's first request by bytes, and end the connection."""
+    """Start a server that answers each connection's first request with raw bytes."""
 
     async def serve(reader, writer):
         await reader.read(65_536)
         writer.write(answer)
         await writer.drain()
         if reset_when is not None:
-            # A reset also destroys what its other end has not read yet.
+            # A reset also discards what the peer hasn't read yet.
             await reset_when.wait()
-            # With no time to linger, closing sends a reset and no proper end.
+            # With a linger time of 0, closing sends a reset instead of an orderly end.
             sock = writer.get_extra_info("socket")
-            no_time = struct.pack("ii", 1, 0)
-            sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, no_time)
+            zero_linger = struct.pack("ii", 1, 0)
+            sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, zero_linger)
             writer.transport.abort()
         else:
             writer.close()
@@ -44,7 +44,7 @@
 
 
 class Echo(Handler):
-    """Answers with the request's body and counts."""
+    """Answers with the request's body and counts the requests."""
 
     def __init__(self) -> None:
         self.n_handled = 0
@@ -55,7 +55,7 @@
 
 
 class TestUnframedAnswers:
-    async def test_one_that_ends_with_its_connection_is_whole(self):
+    async def test_an_answer_ended_by_close_is_complete(self):
         server, address = await raw_server(unframed_answer("a1", b"whole"))
         opened = await worker_client().open(
             address, "GET", "/", headers={"x-attempt-id": "a1"}, request_id="a1"
@@ -63,9 +63,9 @@
         assert (await opened.unwrap().read()).unwrap() == b"whole"
         server.close()
 
-    async def test_one_whose_connection_is_reset_is_not(self):
-        # The endpoint dies while it sends an answer without a length. Taken for its
-        # end, the reset would make half an answer look whole.
+    async def test_an_answer_ended_by_a_reset_is_incomplete(self):
+        # The endpoint fails while it sends an answer without a length. If the reset
+        # counted as the end of the answer, a partial answer would look complete.
         is_head_read = asyncio.Event()
         server, address = await raw_server(
             unframed_answer("a1", b"ha"), reset_when=is_head_read
@@ -79,10 +79,11 @@
         server.close()
 
 
-class TestAbandonedAnswers:
-    async def test_one_that_another_task_closed_has_not_ended(self):
-        # A run is carried to another engine while its reader is busy with its caller.
-        # Taken for the proper end, the half-made draft would be finished as whole.
+class TestClosedStreams:
+    async def test_a_stream_closed_by_another_task_is_incomplete(self):
+        # A run is moved to another engine while its reader is busy writing to its
+        # caller. If the closed stream counted as ended, the partial draft would be
+        # completed as whole.
         head = b"HTTP/1.1 200 OK\r\nx-attempt-id: a1\r\ncontent-length: 10\r\n\r\nhalf"
         server, address = await raw_server(head)
         opened = await worker_client().open(
@@ -95,9 +96,9 @@
 
 
 class TestWithdrawnRequests:
-    async def test_nothing_is_sent_once_it_may_not_be(self):
-        # While the connection was made the process stood still, and the key was taken
-        # away meanwhile.
+    async def test_nothing_is_sent_after_the_request_is_withdrawn(self):
+        # The process was suspended while it connected, and the key was revoked
+        # meanwhile.
         handler = Echo()
         server = HttpServer(handler=handler)
         address = await server.start(LOCAL)
@@ -118,9 +119,9 @@
             b"transfer-encoding: chunked\r\ncontent-length: 4\r\n",
         ],
     )
-    async def test_a_body_with_two_ends_is_refused(self, head):
-        # A second request hides in what one reader takes for the body and another for
-        # the next request. It would run under somebody else's name.
+    async def test_a_body_with_two_framings_is_refused(self, head):
+        # A second request is hidden in what one reader parses as the body and another
+        # as the next request. It would be executed under another caller's identity.
         handler = Echo()
         server = HttpServer(handler=handler)
         address = await server.start(LOCAL)
@@ -136,14 +137,14 @@
 
 
 class TestRetiring:
-    async def test_idle_connections_close_and_new_ones_are_told_to(self):
+    async def test_idle_connections_close_and_new_ones_get_connection_close(self):
         server = HttpServer(handler=Echo())
         address = await server.start(LOCAL)
         client = HttpClient(id_header=None)
         assert (await client.request(address, "GET", "/")).unwrap().status == 200
         server.retire()
-        (waiting,) = client._idle[address]
-        await waiting.conn.lost
+        (idle,) = client._idle[address]
+        await idle.conn.lost
         res = (await client.request(address, "GET", "/")).unwrap()
         assert res.headers["connection"] == "close"
         assert client.n_connected == 2
--- a/tests/test_relay_platform.py
+++ b/tests/test_relay_platform.py
@@ -1,4 +1,4 @@
-"""The platform's names and formats, as the adapter decodes and encodes them."""
+"""Tests how the adapter decodes and encodes the platform's names and formats."""
 
 from __future__ import annotations
 
@@ -82,7 +82,7 @@
 
 
 class TestSettingsFile:
-    def test_reads_what_it_knows_and_ignores_the_rest(self):
+    def test_known_fields_are_read_and_others_ignored(self):
         cfg = read_settings(msgspec.json.encode(SETTINGS)).ok_value
         assert cfg.node == "edge-a-1"
         assert cfg.callers == Address(host="10.1.0.1", port=80)
@@ -90,22 +90,22 @@
         assert cfg.revoke_seconds == 5.0
         assert cfg.peer_ports == (7200, 7215)
 
-    def test_all_findings_come_together_with_their_places(self):
-        # Whoever writes the file should not have to start a node once for each
-        # mistake in it.
-        bad = {
+    def test_all_findings_are_returned_with_their_places(self):
+        # An operator should see all mistakes in the file at once, and not one for each
+        # start of a node.
+        invalid = {
             **SETTINGS,
             "node": 3,
             "port-range": "7200",
             "bounds": {"revoke-ms": "soon"},
             "listen": {"front": "here"},
         }
-        read = read_settings(msgspec.json.encode(bad))
+        read = read_settings(msgspec.json.encode(invalid))
         assert isinstance(read, Err)
         places = {finding.place for finding in read.err_value}
         assert places == {"node", "port-range", "bounds.revoke-ms", "listen.front"}
 
-    def test_what_is_no_json_is_a_finding(self):
+    def test_invalid_json_is_a_finding(self):
         assert isinstance(read_settings(b"{"), Err)
 
 
@@ -140,7 +140,7 @@
             {"version": "seven"},
         ],
     )
-    def test_what_can_not_be_read_is_an_error_with_a_reason(self, change):
+    def test_an_unreadable_configuration_is_an_error_with_a_reason(self, change):
         decoded = decode_config(msgspec.json.encode({**CONFIG, **change}))
         assert isinstance(decoded, Err)
         assert decoded.err_value
@@ -175,13 +175,13 @@
             {"born": "once"},
         ],
     )
-    def test_a_torn_or_forged_row_names_no_endpoint(self, change):
-        # Another writer may have put the row there, with fields of other types or
-        # words that nobody knows. Callers would be sent to an address that is none.
+    def test_a_row_with_an_invalid_field_is_rejected(self, change):
+        # Another writer may have stored the row, with fields of other types or unknown
+        # values. Callers would be sent to an invalid address.
         raw = msgspec.json.encode({**self.ROW, **change})
         assert isinstance(decode_registration("i-1", raw), Err)
 
-    def test_bytes_that_are_no_json_name_no_endpoint(self):
+    def test_invalid_json_is_rejected(self):
         assert isinstance(decode_registration("i-1", b"\xff\x00{"), Err)
 
 
@@ -190,7 +190,7 @@
         endpoint="i-1", budget_seconds=1.5, organisation="org", priority=0
     )
 
-    def test_the_callers_own_headers_go_on_and_ours_are_added(self):
+    def test_caller_headers_are_forwarded_and_system_headers_added(self):
         req = request(
             {
                 "host": "desk.example",
@@ -207,9 +207,9 @@
         assert sent["x-time-budget-ms"] == "1500"
         assert sent["x-tenant-id"] == "org"
 
-    def test_what_only_the_system_may_set_is_dropped(self):
+    def test_headers_reserved_for_the_system_are_dropped(self):
         # A caller that names another organisation, or a copy in an engine's memory,
-        # would be given what belongs to others.
+        # would get access to data of others.
         req = request(
             {
                 "x-tenant-id": "victim",
@@ -226,7 +226,7 @@
         sent = dict(wire.forward_headers(req, facts))
         assert sent == {"x-time-budget-ms": "1000", "x-target-instance": "i-1"}
 
-    def test_headers_of_one_connection_stay_there(self):
+    def test_hop_by_hop_headers_are_dropped(self):
         req = request(
             {
                 "connection": "close, x-private",
@@ -238,9 +238,9 @@
         sent = dict(wire.forward_headers(req, self.FACTS))
         assert not {"connection", "x-private", "transfer-encoding", "te"} & set(sent)
 
-    def test_a_connection_header_can_not_drop_the_attempts_id(self):
-        # A caller that names the id as a header of the connection would get its
-        # request to an endpoint without one, and an answer that can't be checked.
+    def test_a_connection_header_cannot_drop_the_attempt_id(self):
+        # If a caller could list the id as a hop-by-hop header, its request would reach
+        # an endpoint without one, and the answer couldn't be checked.
         req = request({"connection": "x-attempt-id", "x-attempt-id": "a1"})
         assert dict(wire.forward_headers(req, self.FACTS))["x-attempt-id"] == "a1"
 
@@ -266,25 +266,25 @@
         assert facts.parts == (("5c1e07a2", 800), ("91bd3f06", 410))
 
     @pytest.mark.parametrize("text", ["", "x", "-5", "1e400", "nan"])
-    def test_a_budget_that_can_not_be_read_counts_as_not_stated(self, text):
+    def test_an_unreadable_budget_counts_as_not_stated(self, text):
         facts = wire.caller_facts(request({"x-time-budget-ms": text}))
         assert facts.budget_seconds is None
 
 
 class TestAnswers:
-    def test_only_a_sealed_answer_without_encoding_is_the_endpoints(self):
+    def test_only_a_sealed_answer_without_encoding_is_accepted(self):
         assert wire.is_own_answer({"x-response-seal": "s"})
         assert not wire.is_own_answer({})
         assert not wire.is_own_answer(
             {"x-response-seal": "s", "content-encoding": "gzip"}
         )
 
-    def test_not_run_is_what_the_endpoint_says(self):
+    def test_an_answer_that_states_not_executed_is_recognised(self):
         assert wire.is_not_run(503, {"x-not-executed": "1"})
         assert wire.is_not_run(421, {})
         assert not wire.is_not_run(503, {})
 
-    def test_reports(self):
+    def test_reports_and_moves_are_decoded(self):
         body = b'{"queued":1,"in-flight":2,"kv-used":3,"kv-total":4,"leaves_ms":500}'
         report = wire.decode_report(body).ok_value
         assert report.is_leaving and report.leaves_in_seconds == 0.5
