--- a/celerytrail/relay/enginewatch.py
+++ b/celerytrail/relay/enginewatch.py
@@ -32,8 +32,7 @@
     number of requests doesn't grow with the number of nodes.
 
     Nodes that are out of service poll as well: in a long outage of the store all of
-    them are, and the drafts of an engine that no node polls are lost when it shuts
-    down.
+    them are, and the runs of an engine that no node polls are lost when it shuts down.
 
     Parameters
     ----------
--- a/celerytrail/relay/generations.py
+++ b/celerytrail/relay/generations.py
@@ -123,7 +123,7 @@
                 live.run = replace(live.run, n_made_tokens=n_made)
                 self._sharing.progressed(live.run)
 
-    # The life of a generation.
+    # Running.
 
     async def _run_generation(self, live: LiveRun) -> None:
         started = await self._open_first_stream(live)
@@ -166,7 +166,7 @@
 
         The registration of a crashed engine remains for seconds, and to every node it
         looks like the least loaded one. If refused connections counted as tries, three
-        such engines would make a draft fail while others are free.
+        such engines would make a generation fail while others are free.
         """
         ex = live.ex
         excluded: set[str] = set()
@@ -290,7 +290,7 @@
         """
         ex = live.ex
         previous_reg = live.reg
-        moved = await self._take_finished_move(live)
+        moved = await self._await_move(live)
         if isinstance(moved, Switched):
             self._on_moved(live, moved.reg)
             return moved.stream
@@ -323,7 +323,8 @@
         ex.log("run_again", reason=reason, endpoint=reg.endpoint)
         return opened.ok_value
 
-    async def _take_finished_move(self, live: LiveRun) -> Copied | Switched | None:
+    async def _await_move(self, live: LiveRun) -> Copied | Switched | None:
+        """Wait for the run's move, if there is one, and return its outcome."""
         if live.move is None:
             return None
         move, live.move = live.move, None
