--- a/tests/sourcesrig.py
+++ b/tests/sourcesrig.py
@@ -1,4 +1,4 @@
-"""Nodes around one store, each with a gate of its own to it, in virtual time."""
+"""Nodes that share one store, in virtual time; each node's access can be refused."""
 
 from __future__ import annotations
 
@@ -30,17 +30,17 @@
 WARM_UP_SECONDS = 6.0
 
 
-class Gate(RowSource):
-    """The store as one node reaches it; it may turn just this node away."""
+class GatedStore(RowSource):
+    """One node's access to the store, which can refuse this node's calls."""
 
     def __init__(self, *, store: RowSource) -> None:
         self._store = store
-        self.is_shut = False
+        self.is_refusing = False
         self.n_calls = 0
 
     def _refusal(self) -> Err[StoreUnavailable] | None:
         self.n_calls += 1
-        if self.is_shut:
+        if self.is_refusing:
             return Err(StoreUnavailable(reason="status 429", status=429))
         return None
 
@@ -64,16 +64,16 @@
 
 
 class Fleet:
-    """Nodes around one store, each with a gate of its own to it."""
+    """Nodes that share one store; each node's access to it can be refused."""
 
     def __init__(self, seed: int, n_nodes: int) -> None:
         self.wires = Wires(rng=random.Random(seed))
         self.store = RowStore(network=self.wires.process("store"))
         self.nodes: list[RelayNode] = []
-        self.gates: list[Gate] = []
+        self.gates: list[GatedStore] = []
         self.client = HttpClient(network=self.wires.process("callers"), id_header=None)
         self.version = 1
-        self._n_asked = 0
+        self._n_requests = 0
         self._seed = seed
         self._n_nodes = n_nodes
 
@@ -86,7 +86,7 @@
         assert all(node.is_ready for node in self.nodes)
 
     async def restart(self) -> None:
-        """Let all nodes lose power and start again at once."""
+        """Kill all nodes and start them again at once."""
         stopped, self.nodes = self.nodes, []
         for number, node in enumerate(stopped):
             self.wires.kill(f"vm-{number}")
@@ -104,7 +104,7 @@
         name = f"vm-{number}"
         network = self.wires.process(name)
         rng = random.Random(100 * self._seed + number)
-        gate = Gate(
+        gate = GatedStore(
             store=make_rows(
                 store,
                 network=network,
@@ -136,48 +136,50 @@
 
     @property
     def reader(self) -> int:
-        """Return the number of the node that follows the store for all."""
+        """Return the number of the only reader."""
         readers = [i for i, node in enumerate(self.nodes) if node.shared.is_reader]
         assert len(readers) == 1
         return readers[0]
 
     @property
     def ranked(self) -> list[int]:
-        """Return the numbers of all nodes, by their rank as readers."""
+        """Return the numbers of all nodes in their rank as readers."""
         numbers = {node.node_id: i for i, node in enumerate(self.nodes)}
         return [numbers[name] for name in rank(READERS_KEY, numbers)]
 
     def freeze(self, number: int) -> None:
-        """Silence a node; connections to it are accepted and never answered."""
+        """Freeze a node: connections to it are accepted and never answered."""
         self.wires.freeze(f"vm-{number}")
 
     def thaw(self, number: int) -> None:
-        """Let a silent node speak again."""
+        """Let a frozen node go on."""
         self.wires.thaw(f"vm-{number}")
 
     def change(self, *route_names: str, **more: object) -> None:
-        """Let the operator write the next version, with further routes."""
+        """Write the next configuration version, with further routes."""
         self.version += 1
         cfg = config(self.version, **more)
         added = [route(name, "safe", "desk") for name in route_names]
         self.store.put("op", "config", {**cfg, "routes": [*cfg["routes"], *added]})
 
-    async def ask(self, number: int, name: str, key: str = KEY) -> Response:
-        """Ask a node for a route as a caller does."""
-        self._n_asked += 1
+    async def request(self, number: int, name: str, key: str = KEY) -> Response:
+        """Send a caller's request for a route to a node."""
+        self._n_requests += 1
         address = self.nodes[number].cfg.callers
         assert address is not None
         headers = {
             "host": HOST,
             "authorization": f"Bearer {key}",
-            "x-attempt-id": f"a{self._n_asked}",
+            "x-attempt-id": f"a{self._n_requests}",
             "x-time-budget-ms": "1000",
         }
-        asked = await self.client.request(address, "GET", f"/{name}/1", headers=headers)
-        return asked.unwrap()
+        answered = await self.client.request(
+            address, "GET", f"/{name}/1", headers=headers
+        )
+        return answered.unwrap()
 
     async def unready_seconds(self, seconds: float) -> float:
-        """Return for how many seconds, of all nodes together, one was not ready."""
+        """Return the seconds that nodes were not ready, summed over all nodes."""
         loop = asyncio.get_running_loop()
         until = loop.time() + seconds
         unready = 0.0
@@ -187,15 +189,15 @@
         return unready
 
 
-def play(
-    seed: int, work: Callable[[Fleet], Awaitable[None]], n_nodes: int = N_NODES
+def run_fleet(
+    seed: int, test: Callable[[Fleet], Awaitable[None]], n_nodes: int = N_NODES
 ) -> None:
-    """Run a test's steps in virtual time."""
+    """Run a test's steps against a new fleet in virtual time."""
 
     async def steps() -> None:
         fleet = Fleet(seed, n_nodes)
         await fleet.start()
-        await work(fleet)
+        await test(fleet)
         for node in fleet.nodes:
             await node.close()
 
--- a/tests/test_relay_daemon.py
+++ b/tests/test_relay_daemon.py
@@ -1,4 +1,4 @@
-"""The node as a process: settings from a file, signals, one line a log event."""
+"""The node as a process: settings from a file, signals, one line per log event."""
 
 from __future__ import annotations
 
@@ -41,43 +41,43 @@
 
 
 class TestStarting:
-    def test_wrong_settings_are_all_told_with_their_places(self, tmp_path):
+    def test_all_wrong_settings_are_reported_with_their_places(self, tmp_path):
         path = tmp_path / "local.json"
         path.write_bytes(msgspec.json.encode({"node": 1, "port-range": 2}))
-        done = subprocess.run(
+        finished = subprocess.run(
             COMMAND, env=environment(path), capture_output=True, text=True, check=False
         )
-        assert done.returncode == 2
+        assert finished.returncode == 2
         for place in ("node", "zone", "region", "port-range"):
-            assert f"error: {place}:" in done.stderr
+            assert f"error: {place}:" in finished.stderr
 
-    def test_a_missing_file_and_a_missing_variable(self, tmp_path):
+    def test_a_missing_file_and_a_missing_variable_are_reported(self, tmp_path):
         for path in (tmp_path / "none.json", None):
-            done = subprocess.run(
+            finished = subprocess.run(
                 COMMAND,
                 env=environment(path),
                 capture_output=True,
                 text=True,
                 check=False,
             )
-            assert done.returncode == 2
-            assert "error:" in done.stderr
+            assert finished.returncode == 2
+            assert "error:" in finished.stderr
 
-    def test_flags_beside_a_settings_file_are_told(self, tmp_path):
-        """Someone adds a flag to a command that runs by the platform's file. Were the
-        flag passed over in silence, they would think that it is in force.
+    def test_flags_beside_a_settings_file_are_rejected(self, tmp_path):
+        """A user adds a flag to a command that takes its settings from a file. If it
+        were ignored silently, the user would assume that it has an effect.
         """
         path = tmp_path / "local.json"
         path.write_bytes(msgspec.json.encode(settings()))
-        done = subprocess.run(
+        finished = subprocess.run(
             [*COMMAND, "--vm", "other"],
             env=environment(path),
             capture_output=True,
             text=True,
             check=False,
         )
-        assert done.returncode == 2
-        assert "error: --vm:" in done.stderr
+        assert finished.returncode == 2
+        assert "error: --vm:" in finished.stderr
 
 
 class TestRunning:
@@ -107,9 +107,9 @@
 
 
 class TestBoundedOutput:
-    def test_a_reader_that_has_stopped_holds_up_nothing(self):
-        # Whoever collects the logs stands still, and the pipe fills up. A node that
-        # waited for it would answer nobody until then.
+    def test_a_stalled_reader_does_not_block_the_output(self):
+        # The log collector stalls, and the pipe fills up. A node that waited for it
+        # would answer nobody.
         reader, writer = os.pipe()
         os.set_blocking(reader, False)
         output = BoundedOutput(fd=writer, process="p")
@@ -117,16 +117,16 @@
             output({"number": number, "text": "x" * 100})
         n_dropped = output.n_dropped
         assert n_dropped > 0
-        # The reader wakes up: it gets whole lines, and how many are missing.
-        taken = self.take_all(reader)
-        # What waits goes out with the next lines, as much as the pipe takes each time.
+        # The reader resumes: it gets whole lines, and the number of dropped ones.
+        received = self.take_all(reader)
+        # Buffered lines follow with the next ones, as far as the pipe has space.
         last = [-1, -2, -3, -4]
         for number in last:
             output({"number": number})
-            taken += self.take_all(reader)
+            received += self.take_all(reader)
         os.close(reader)
         os.close(writer)
-        lines = [json.loads(line) for line in taken.splitlines()]
+        lines = [json.loads(line) for line in received.splitlines()]
         assert [line["number"] for line in lines[-4:]] == last
         counted = [line for line in lines if "n_lines_dropped" in line]
         assert [line["n_lines_dropped"] for line in counted] == [n_dropped]
@@ -134,14 +134,14 @@
 
     @staticmethod
     def take_all(reader: int) -> bytes:
-        taken = b""
+        received = b""
         while True:
             try:
-                taken += os.read(reader, 1 << 20)
+                received += os.read(reader, 1 << 20)
             except BlockingIOError:
-                return taken
+                return received
 
-    def test_a_reader_that_is_gone_ends_nothing(self):
+    def test_a_closed_pipe_raises_no_error(self):
         reader, writer = os.pipe()
         os.close(reader)
         output = BoundedOutput(fd=writer, process="p")
@@ -151,9 +151,9 @@
 
 
 class TestFootprint:
-    """Memory is bounded on an entry VM, and hundreds of nodes pay for each megabyte."""
+    """Memory is limited on an entry VM; hundreds of nodes multiply each megabyte."""
 
-    LOOK = (
+    SCRIPT = (
         "import sys, celerytrail.__main__ as main\n"
         "main.leave_out_unused()\n"
         "import celerytrail.relay.daemon\n"
@@ -162,13 +162,13 @@
     )
 
     def test_a_node_on_the_platform_loads_neither_tls_nor_the_command_line(self):
-        """A module that anything imports on the way stays in memory for good; nobody
-        notices until processes are killed for their size.
+        """An imported module stays in memory for good, and this goes unnoticed until
+        processes are killed for their size.
         """
-        made = subprocess.run(
-            [sys.executable, "-c", self.LOOK],
+        finished = subprocess.run(
+            [sys.executable, "-c", self.SCRIPT],
             capture_output=True,
             text=True,
             check=True,
         )
-        assert made.stdout.strip() == "[]"
+        assert finished.stdout.strip() == "[]"
--- a/tests/test_relay_suspended.py
+++ b/tests/test_relay_suspended.py
@@ -1,4 +1,4 @@
-"""A node whose VM is suspended, or cut off, in virtual time."""
+"""A node whose VM is suspended or disconnected from the store, in virtual time."""
 
 from __future__ import annotations
 
@@ -24,8 +24,8 @@
 REVOKE_SECONDS = 5.0
 
 
-class Desk:
-    """A node, its store and a booking desk on wires that can be cut."""
+class Deployment:
+    """A node, its store and one endpoint on a network that can be cut."""
 
     def __init__(self) -> None:
         self.wires = Wires(rng=random.Random(1))
@@ -34,7 +34,7 @@
         self.clock = LoopClock()
         self.client = HttpClient(network=self.wires.process("callers"), id_header=None)
         self.callers = Address(host=HOST, port=8740)
-        self.n_asked = 0
+        self.n_requests = 0
 
     async def start(self) -> RelayNode:
         store = await self.store.start()
@@ -67,29 +67,29 @@
         self.wires.cut("vm-1", "store")
         self.wires.cut("store", "vm-1")
 
-    async def file(self) -> Response:
-        """File a signature with the key of the organisation."""
-        self.n_asked += 1
+    async def send_request(self) -> Response:
+        """Send a request for the unsafe route with the organisation's key."""
+        self.n_requests += 1
         headers = {
             "host": "desk.example",
             "authorization": f"Bearer {KEY}",
-            "x-attempt-id": f"a{self.n_asked}",
+            "x-attempt-id": f"a{self.n_requests}",
             "x-time-budget-ms": "3000",
         }
-        asked = await self.client.request(
+        answered = await self.client.request(
             self.callers, "POST", "/file/1", headers=headers
         )
-        return asked.unwrap()
+        return answered.unwrap()
 
 
-def play(work: Callable[[Desk, RelayNode], Awaitable[None]]) -> None:
+def run_deployment(test: Callable[[Deployment, RelayNode], Awaitable[None]]) -> None:
     """Run a test's steps in virtual time."""
 
     async def steps() -> None:
-        desk = Desk()
-        node = await desk.start()
+        deployment = Deployment()
+        node = await deployment.start()
         await asyncio.sleep(2.0)
-        await work(desk, node)
+        await test(deployment, node)
         await node.close()
 
     loop = new_loop()
@@ -100,45 +100,45 @@
 
 
 class TestSuspended:
-    """A VM is suspended for a minute. Meanwhile a key is taken away. Right after it
-    wakes a request with that key is there already, and the node has not heard from the
-    store yet; counted on a clock that stood still, what it knows looks fresh.
+    """A VM is suspended for a minute, during which a key is revoked. A request with
+    that key arrives right after the VM resumes and before the store answers. On a
+    clock that stops during suspension the node's rows would look new.
     """
 
-    def test_nothing_passes_on_what_was_known_before(self):
-        async def steps(desk: Desk, node: RelayNode) -> None:
-            assert (await desk.file()).status == 200
-            desk.cut_off_from_store()
-            desk.store.put("op", "config", config(2, tenants=[]))
-            desk.clock.suspended_seconds += 60.0
-            refused = await desk.file()
+    def test_requests_are_refused_until_the_store_answers(self):
+        async def steps(deployment: Deployment, node: RelayNode) -> None:
+            assert (await deployment.send_request()).status == 200
+            deployment.cut_off_from_store()
+            deployment.store.put("op", "config", config(2, tenants=[]))
+            deployment.clock.suspended_seconds += 60.0
+            refused = await deployment.send_request()
             assert refused.status == 503
             assert error_type(refused) == "keys_unknown"
-            assert desk.worker.ran == ["a1"]
+            assert deployment.worker.ran == ["a1"]
             assert not node.is_ready
 
-        play(steps)
+        run_deployment(steps)
 
-    def test_it_serves_again_once_it_has_heard_from_the_store(self):
-        async def steps(desk: Desk, node: RelayNode) -> None:
-            desk.clock.suspended_seconds += 60.0
+    def test_the_node_serves_again_once_the_store_answers(self):
+        async def steps(deployment: Deployment, node: RelayNode) -> None:
+            deployment.clock.suspended_seconds += 60.0
             assert not node.is_ready
             await asyncio.sleep(3.0)
-            assert (await desk.file()).status == 200
+            assert (await deployment.send_request()).status == 200
 
-        play(steps)
+        run_deployment(steps)
 
-    def test_the_key_that_was_taken_away_stays_so(self):
-        async def steps(desk: Desk, node: RelayNode) -> None:
-            desk.cut_off_from_store()
-            desk.store.put("op", "config", config(2, tenants=[]))
-            desk.clock.suspended_seconds += 60.0
-            desk.wires.heal()
+    def test_the_revoked_key_stays_revoked(self):
+        async def steps(deployment: Deployment, node: RelayNode) -> None:
+            deployment.cut_off_from_store()
+            deployment.store.put("op", "config", config(2, tenants=[]))
+            deployment.clock.suspended_seconds += 60.0
+            deployment.wires.heal()
             await asyncio.sleep(4.0)
-            assert (await desk.file()).status == 401
-            assert desk.worker.ran == []
+            assert (await deployment.send_request()).status == 401
+            assert deployment.worker.ran == []
 
-        play(steps)
+        run_deployment(steps)
 
 
 class TestCutOffFromTheStore:
@@ -146,27 +146,27 @@
         "seconds, status", [(1.0, 200), (3.5, 200), (REVOKE_SECONDS, 503)]
     )
     def test_keys_are_used_for_a_part_of_the_bound_only(self, seconds, status):
-        """A node's way to the store is cut, without a reset. It may go on for a while;
-        after the bound a key that was taken away must let nothing through, though the
-        node can't know which one that is.
+        """The connection to the store is cut without a reset. The node may serve on for
+        a while; after the bound no revoked key may be accepted, and the node can't
+        know which keys are revoked.
         """
 
-        async def steps(desk: Desk, node: RelayNode) -> None:
-            desk.cut_off_from_store()
+        async def steps(deployment: Deployment, node: RelayNode) -> None:
+            deployment.cut_off_from_store()
             await asyncio.sleep(seconds)
-            assert (await desk.file()).status == status
+            assert (await deployment.send_request()).status == status
 
-        play(steps)
+        run_deployment(steps)
 
-    def test_a_jump_of_the_time_of_day_changes_nothing(self):
-        """The time of day jumps by an hour, as on a VM whose clock is set. A node that
-        counted ages on it would refuse all callers, or trust its knowledge for ever.
+    def test_a_jump_of_the_wall_clock_changes_nothing(self):
+        """The wall clock jumps by an hour, as on a VM whose clock is set. A node that
+        measured ages on it would refuse all callers, or use old rows for ever.
         """
 
-        async def steps(desk: Desk, node: RelayNode) -> None:
+        async def steps(deployment: Deployment, node: RelayNode) -> None:
             for jump in (3_600.0, -7_200.0):
-                desk.clock.wall_offset += jump
+                deployment.clock.wall_offset += jump
                 await asyncio.sleep(1.0)
-                assert (await desk.file()).status == 200
+                assert (await deployment.send_request()).status == 200
 
-        play(steps)
+        run_deployment(steps)
