--- a/celerytrail/relay/node.py
+++ b/celerytrail/relay/node.py
@@ -305,7 +305,7 @@
             ratio=cfg.retry_ratio,
             allowance=cfg.retry_slack,
             window_seconds=cfg.retry_window_seconds,
-            heard_share=self._reachable_share,
+            heard_share=self._heard_share,
             tell=self.sharing.announce_retry,
         )
         self.endpoints = HttpClient(
@@ -525,7 +525,7 @@
             and self._clock.boottime() - confirmed_at > STALE_REGISTRATIONS_SECONDS
         )
 
-    def _reachable_share(self) -> float:
+    def _heard_share(self) -> float:
         """Return the share of all known VMs whose nodes run, this one included."""
         known = {member.vm for member in self.nodes.members()}
         running = {member.vm for member in self.nodes.running()} | {self.cfg.node}
--- a/celerytrail/relay/sharedrows.py
+++ b/celerytrail/relay/sharedrows.py
@@ -318,8 +318,8 @@
     async def _try_sources(
         self,
         table: str,
-        ask: Callable[[str, Address, float, float], Awaitable[Answer]],
-        ask_store: Callable[[float, float], Awaitable[Answer]],
+        call_node: Callable[[str, Address, float, float], Awaitable[Answer]],
+        call_store: Callable[[float, float], Awaitable[Answer]],
         *,
         wait_seconds: float,
         deadline: float,
@@ -349,13 +349,13 @@
                 # After a recent failure the call only checks whether the store is back.
                 wait = wait_seconds if was_available else 0.0
                 until = min(deadline, loop.time() + wait + STORE_ANSWER_SECONDS)
-                answered = await ask_store(wait, until)
+                answered = await call_store(wait, until)
             else:
                 answer_seconds = (
                     self._tables[table].bound().answer_seconds(READER_ANSWER_SECONDS)
                 )
                 until = min(deadline, loop.time() + wait_seconds + answer_seconds)
-                answered = await ask(name, address, wait_seconds, until)
+                answered = await call_node(name, address, wait_seconds, until)
             if isinstance(answered, Ok) or isinstance(answered.err_value, HistoryGone):
                 if address is None:
                     self._n_hops[table] = 0
@@ -456,7 +456,7 @@
         )
 
     def _record_hops(self, table: str, answer: _RowsAnswer) -> None:
-        """Record over how many nodes the rows came, if they are newer than the known.
+        """Record over how many nodes the rows came, if they are newer than this node's.
 
         A reader may get rows back from a follower that it sent them to. The reader is
         still as close to the store as before, and the others must not avoid it.
