--- a/celerytrail/relay/sharedrows.py
+++ b/celerytrail/relay/sharedrows.py
@@ -207,7 +207,7 @@
         if isinstance(found, Err):
             exc = found.err_value
             if isinstance(exc, HistoryGone):
-                return Err(StoreUnavailable(reason="a reader knows nothing yet"))
+                return Err(StoreUnavailable(reason="a reader has no rows yet"))
             return Err(exc)
         return found
 
@@ -470,7 +470,7 @@
     ) -> Answer:
         answered = await self._request(name, address, table, None, 0.0, deadline)
         if isinstance(answered, Ok) and answered.ok_value.version < at_least:
-            return Err(ReaderBehind(reason="knows less than this node"))
+            return Err(ReaderBehind(reason="the reader has an older version"))
         return answered
 
     async def _on_request(self, req: Request, res: Responder, _: Params) -> None:
--- a/celerytrail/relay/watch.py
+++ b/celerytrail/relay/watch.py
@@ -136,7 +136,7 @@
             if answered.ok_value.version < self._newest_version:
                 # Endpoints added since that version would be missing, and would be
                 # treated as removed.
-                self._on_unavailable("older than what is known")
+                self._on_unavailable("older than the known version")
                 return False
             is_after_outage = self._on_answered(0.0)
             self._sink.replace(answered.ok_value.rows, is_after_outage=is_after_outage)
--- a/tests/test_relay_sharing.py
+++ b/tests/test_relay_sharing.py
@@ -338,7 +338,7 @@
         assert isinstance(await mirror.follow(1, 0.0), HistoryGone)
 
 
-class TestSharing:
+class TestPeerUpdates:
     def make(self, name: str = "me") -> tuple[Sharing, EngineLoads, dict[str, list]]:
         loads = EngineLoads()
         events: dict[str, list] = {"leaving": [], "retried": [], "aborted": []}
--- a/tests/test_relay_sources.py
+++ b/tests/test_relay_sources.py
@@ -85,9 +85,7 @@
 class TestMassStart:
     """All nodes start in the same second, as after a loss of all VMs."""
 
-    def test_calls_to_the_store_are_bounded_until_nodes_find_others(
-        self,
-    ):
+    def test_calls_to_the_store_are_bounded_until_nodes_find_others(self):
         """Until it knows other nodes, each node follows the store itself, which answers
         at every heartbeat of an endpoint. Hundreds of nodes made more calls in their
         first second than in the minute after it.
