--- a/celerytrail/orders/__init__.py
+++ b/celerytrail/orders/__init__.py
@@ -1,1 +1,1 @@
-"""Orders to engines: what is due, under which lease, and how fast."""
+"""Orders to engines: what to change, under which lease, and at which rate."""
--- a/celerytrail/orders/leases.py
+++ b/celerytrail/orders/leases.py
@@ -1,9 +1,9 @@
 """Leases in the platform's table, with fencing numbers.
 
-A lease lets one node act on something for a while. No clock is shared: the holder
-counts the lease from just before it asked for it, on its own monotonic clock, and
-anyone else counts from when it first saw the row, on its own. So the holder's count
-always ends first, by at least the time a write takes.
+A lease lets one node act on a resource for a limited time. Nodes share no clock: the
+holder counts the lease from just before it sent the request, and every other node
+counts from when it first read the row, each on its own monotonic clock. So the
+holder's count always ends first, by at least the time that a write takes.
 """
 
 from __future__ import annotations
@@ -21,10 +21,10 @@
 
 LEASE_PREFIX = "leases/"
 LEASE_SECONDS = 15.0
-# Covers clocks that run at different rates and requests that are on their way when
-# the holder's count ends.
+# Covers clocks that run at different rates and requests still in flight when the
+# holder's count ends.
 MARGIN_SECONDS = 5.0
-MAX_OBSERVED = 10_000
+MAX_OBSERVATIONS = 10_000
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
@@ -34,13 +34,13 @@
     Parameters
     ----------
     holder : str
-        An id that is new for each taking; empty when nobody holds it.
+        The id of the acquisition, new each time; empty while the lease is free.
     fencing : int
-        Rises with each taking and never falls, also while nobody holds the lease.
+        Rises with each acquisition and never falls, also while the lease is free.
     seconds : float
-        How long the holder counts. This is a duration, as clocks are not shared.
+        How long the lease lasts: a duration, as nodes share no clock.
     document_version : int
-        The highest version of the document under which it was ever taken.
+        The highest document version under which the lease was ever taken.
     """
 
     holder: str
@@ -56,17 +56,17 @@
     Parameters
     ----------
     name : str
-        What it is on.
+        The resource that it covers.
     holder : str
-        This taking's id.
+        The id of this acquisition.
     fencing : int
-        Sent with each act, so that a peer can refuse those of an earlier holder.
+        Sent with each action, so that a peer can refuse those of an earlier holder.
     version : int
         The row's version.
     deadline : float
-        Monotonic time after which nothing may be done under it.
+        Monotonic time from which the lease no longer allows any action.
     is_after_lapse : bool
-        Whether it was taken from a holder that never gave it up, and so may wake up.
+        Whether the former holder never released it and may still resume its work.
     """
 
     name: str
@@ -76,46 +76,48 @@
     deadline: float
     is_after_lapse: bool = False
 
-    def holds(self, now: float) -> bool:
-        """Return whether acting is allowed; to be asked right before each act."""
+    def is_valid(self, now: float) -> bool:
+        """Return whether the lease allows an action; check right before each one."""
         return now < self.deadline
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
-class Refused:
-    """The lease can't be had now.
+class LeaseRefusal:
+    """The reason why a lease can't be taken or renewed now.
 
     Parameters
     ----------
     reason : str
         ``held``, ``old_document``, ``store_down``, ``in_doubt`` or ``bad_row``.
-    ask_at : float
+    retry_at : float
         Monotonic time at which to try again.
     """
 
     reason: str
-    ask_at: float
+    retry_at: float
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
-class _Observed:
+class _Observation:
+    """A row's version and the monotonic time at which it was first read."""
+
     version: int
-    since: float
+    first_seen_at: float
 
 
 class LeaseKeeper:
-    """Takes, renews and gives up leases.
+    """Takes, renews and releases leases.
 
     Parameters
     ----------
     table : Table
-        Where the rows are.
+        Holds the rows.
     holder : str
-        Names this process.
+        The name of this process; begins the id of each acquisition.
     clock : Clock
         Its monotonic time must be the loop's.
     rng : random.Random
-        Draws the ids of takings.
+        Draws the random part of the ids of acquisitions.
     """
 
     def __init__(
@@ -125,7 +127,7 @@
         self._holder = holder
         self._clock = clock
         self._rng = rng
-        self._observed: dict[str, _Observed] = {}
+        self._observations: dict[str, _Observation] = {}
 
     async def take(
         self,
@@ -133,155 +135,168 @@
         *,
         document_version: int,
         deadline: float,
-        seconds: float = LEASE_SECONDS,
-        above: int = 0,
-    ) -> Result[Lease, Refused]:
-        """Take a lease, where nobody holds it or its holder's time is long over.
+        duration_seconds: float = LEASE_SECONDS,
+        seen_fencing: int = 0,
+    ) -> Result[Lease, LeaseRefusal]:
+        """Take a lease that is free or whose holder's time has surely expired.
 
         Parameters
         ----------
         name : str
-            What it is on.
+            The resource that it covers.
         document_version : int
-            The version this node serves by. A node that slept through a version must
-            not act by the old one where a newer one has been acted on.
+            The document version that this node serves by. A node that missed a
+            version must not act by an older one than was already acted on.
         deadline : float
             Monotonic time until which to try.
-        seconds : float
-            How long to hold it.
-        above : int
-            A fencing number that a peer is known to have seen.
+        duration_seconds : float
+            How long to hold the lease.
+        seen_fencing : int
+            A fencing number that a peer has seen; the lease gets a higher one.
         """
         key = LEASE_PREFIX + name
         read = await self._table.read([key], deadline)
         if isinstance(read, Err):
-            return Err(self._refused("store_down", read.err_value.retry_after))
+            return Err(self._refusal("store_down", read.err_value.retry_after))
         row = read.ok_value.get(key, Row(key=key))
-        standing = _decode(row)
-        if standing is None:
-            return Err(self._refused("bad_row", LEASE_SECONDS))
-        if document_version < standing.document_version:
-            return Err(self._refused("old_document", 1.0))
-        ask_at = self._free_at(name, row.version, standing)
-        if self._clock.monotonic() < ask_at:
-            return Err(Refused(reason="held", ask_at=ask_at))
-        wanted = LeaseRow(
+        current = _decode(row)
+        if current is None:
+            return Err(self._refusal("bad_row", LEASE_SECONDS))
+        if document_version < current.document_version:
+            return Err(self._refusal("old_document", 1.0))
+        retry_at = self._free_at(name, row.version, current)
+        if self._clock.monotonic() < retry_at:
+            return Err(LeaseRefusal(reason="held", retry_at=retry_at))
+        lease_row = LeaseRow(
             holder=f"{self._holder}-{self._rng.getrandbits(64):016x}",
-            fencing=max(standing.fencing, above) + 1,
-            seconds=seconds,
+            fencing=max(current.fencing, seen_fencing) + 1,
+            seconds=duration_seconds,
             document_version=document_version,
         )
-        taken = await self._write(name, wanted, row.version, deadline)
-        if isinstance(taken, Ok) and standing.holder:
-            log_message("leases:taken_over", name=name, former=standing.holder)
+        taken = await self._write(name, lease_row, row.version, deadline)
+        if isinstance(taken, Ok) and current.holder:
+            log_message("leases:taken_over", name=name, former=current.holder)
             return Ok(replace(taken.ok_value, is_after_lapse=True))
         return taken
 
     async def renew(
-        self, lease: Lease, deadline: float, seconds: float = LEASE_SECONDS
-    ) -> Result[Lease, Refused]:
-        """Hold a lease for longer; after a failure its former deadline still counts."""
-        wanted = LeaseRow(holder=lease.holder, fencing=lease.fencing, seconds=seconds)
+        self, lease: Lease, deadline: float, duration_seconds: float = LEASE_SECONDS
+    ) -> Result[Lease, LeaseRefusal]:
+        """Extend a lease; if that fails, its former deadline still applies."""
+        lease_row = LeaseRow(
+            holder=lease.holder, fencing=lease.fencing, seconds=duration_seconds
+        )
         read = await self._table.read([LEASE_PREFIX + lease.name], deadline)
         if isinstance(read, Err):
-            return Err(self._refused("store_down", read.err_value.retry_after))
+            return Err(self._refusal("store_down", read.err_value.retry_after))
         row = read.ok_value.get(LEASE_PREFIX + lease.name)
-        standing = None if row is None else _decode(row)
-        if row is None or standing is None or standing.holder != lease.holder:
-            return Err(self._refused("held", LEASE_SECONDS))
-        wanted = replace(wanted, document_version=standing.document_version)
-        renewed = await self._write(lease.name, wanted, row.version, deadline)
+        current = None if row is None else _decode(row)
+        if row is None or current is None or current.holder != lease.holder:
+            return Err(self._refusal("held", LEASE_SECONDS))
+        lease_row = replace(lease_row, document_version=current.document_version)
+        renewed = await self._write(lease.name, lease_row, row.version, deadline)
         return renewed.map(lambda new: replace(new, is_after_lapse=False))
 
-    async def give_up(self, lease: Lease, deadline: float) -> None:
-        """Let others take it at once; when that fails they wait it out."""
+    async def release(self, lease: Lease, deadline: float) -> None:
+        """Free a lease at once; if that fails, others wait until it has expired."""
         key = LEASE_PREFIX + lease.name
         read = await self._table.read([key], deadline)
         row = read.ok_value.get(key) if isinstance(read, Ok) else None
-        standing = None if row is None else _decode(row)
-        if row is None or standing is None or standing.holder != lease.holder:
+        current = None if row is None else _decode(row)
+        if row is None or current is None or current.holder != lease.holder:
             return
-        freed = replace(standing, holder="")
-        await self._table.transact(_transaction(key, freed, row.version), deadline)
+        freed = replace(current, holder="")
+        await self._table.transact(_make_transaction(key, freed, row.version), deadline)
 
-    def _free_at(self, name: str, version: int, standing: LeaseRow) -> float:
-        """Return when a row that has stood unchanged is surely its holder's no more."""
-        if not standing.holder:
-            self._observed.pop(name, None)
+    def _free_at(self, name: str, version: int, current: LeaseRow) -> float:
+        """Return when a row, if unchanged until then, has surely expired."""
+        if not current.holder:
+            self._observations.pop(name, None)
             return 0.0
-        seen = self._observed.get(name)
-        if seen is None or seen.version != version:
-            if len(self._observed) >= MAX_OBSERVED:
-                self._observed.clear()
-            seen = _Observed(version=version, since=self._clock.monotonic())
-            self._observed[name] = seen
-        return seen.since + standing.seconds + MARGIN_SECONDS
+        observation = self._observations.get(name)
+        if observation is None or observation.version != version:
+            if len(self._observations) >= MAX_OBSERVATIONS:
+                self._observations.clear()
+            observation = _Observation(
+                version=version, first_seen_at=self._clock.monotonic()
+            )
+            self._observations[name] = observation
+        return observation.first_seen_at + current.seconds + MARGIN_SECONDS
 
     async def _write(
-        self, name: str, wanted: LeaseRow, version: int, deadline: float
-    ) -> Result[Lease, Refused]:
+        self, name: str, lease_row: LeaseRow, version: int, deadline: float
+    ) -> Result[Lease, LeaseRefusal]:
         key = LEASE_PREFIX + name
-        # Counted from before the request: counted from its answer, a slow answer would
-        # make this process believe in the lease when others may have taken it.
-        until = self._clock.monotonic() + wanted.seconds
+        # Counts from before the request. Counting from the answer, this process could
+        # rely on the lease after a slow answer, when others may have taken it.
+        lease_deadline = self._clock.monotonic() + lease_row.seconds
         result = await self._table.transact(
-            _transaction(key, wanted, version), deadline
+            _make_transaction(key, lease_row, version), deadline
         )
         match result:
             case Ok(committed):
-                return Ok(_lease(name, wanted, committed.versions[key], until))
+                return Ok(
+                    _make_lease(
+                        name, lease_row, committed.versions[key], lease_deadline
+                    )
+                )
             case Err(InDoubt()):
-                return await self._settle(name, wanted, version, until, deadline)
+                return await self._resolve_in_doubt(
+                    name, lease_row, version, lease_deadline, deadline
+                )
             case Err(Unavailable(retry_after=retry_after)):
-                return Err(self._refused("store_down", retry_after))
+                return Err(self._refusal("store_down", retry_after))
             case _:
-                return Err(self._refused("held", wanted.seconds))
+                return Err(self._refusal("held", lease_row.seconds))
 
-    async def _settle(
+    async def _resolve_in_doubt(
         self,
         name: str,
-        wanted: LeaseRow,
+        lease_row: LeaseRow,
         former_version: int,
-        until: float,
+        lease_deadline: float,
         deadline: float,
-    ) -> Result[Lease, Refused]:
-        """Find out by our taking's id whether a write whose reply was lost stands.
+    ) -> Result[Lease, LeaseRefusal]:
+        """Find out by the acquisition's id whether a write in doubt took effect.
 
-        A renewal finds that id also in the row it was to replace. Were that taken for
-        success, this process would count from now while others count from then.
+        For a renewal, the row that it replaces has that id too, so the row's version
+        must have changed as well. Otherwise this process would count from the failed
+        renewal while others count from the write before.
         """
         key = LEASE_PREFIX + name
         read = await self._table.read([key], deadline)
         row = read.ok_value.get(key) if isinstance(read, Ok) else None
         is_new = row is not None and row.version != former_version
-        if row is not None and is_new and _is_held_by(row, wanted):
-            return Ok(_lease(name, wanted, row.version, until))
-        return Err(self._refused("in_doubt", 1.0))
+        if row is not None and is_new and _is_held_by(row, lease_row):
+            return Ok(_make_lease(name, lease_row, row.version, lease_deadline))
+        return Err(self._refusal("in_doubt", 1.0))
 
-    def _refused(self, reason: str, seconds: float) -> Refused:
-        return Refused(reason=reason, ask_at=self._clock.monotonic() + seconds)
+    def _refusal(self, reason: str, wait_seconds: float) -> LeaseRefusal:
+        return LeaseRefusal(
+            reason=reason, retry_at=self._clock.monotonic() + wait_seconds
+        )
 
 
-def _lease(name: str, row: LeaseRow, version: int, until: float) -> Lease:
+def _make_lease(name: str, row: LeaseRow, version: int, deadline: float) -> Lease:
     return Lease(
         name=name,
         holder=row.holder,
         fencing=row.fencing,
         version=version,
-        deadline=until,
+        deadline=deadline,
     )
 
 
-def _transaction(key: str, row: LeaseRow, version: int) -> Transaction:
+def _make_transaction(key: str, row: LeaseRow, version: int) -> Transaction:
     return Transaction(
         checks=(Check(key=key, version=version),),
         puts=(Put(key=key, value=msgspec.to_builtins(row)),),
     )
 
 
-def _is_held_by(row: Row, wanted: LeaseRow) -> bool:
-    standing = _decode(row)
-    return standing is not None and standing.holder == wanted.holder
+def _is_held_by(row: Row, lease_row: LeaseRow) -> bool:
+    current = _decode(row)
+    return current is not None and current.holder == lease_row.holder
 
 
 def _decode(row: Row) -> LeaseRow | None:
--- a/celerytrail/orders/order.py
+++ b/celerytrail/orders/order.py
@@ -1,13 +1,13 @@
 """Orders to engines: the difference between the document and what engines report.
 
-For an engine that refuses old fencing numbers, an order of a former holder of the
-lease has no effect. For one that ignores them the following holds: a holder looks at
-its lease right before each send; orders expire with the lease; a new holder waits the
-lease out and orders only after it has read a report from after that. What stays
-possible: a holder that is paused between that look and the send, past the order's
-expiry on an engine that does not look at it either, has one old order carried out. It
-shows in the engine's next report, is logged as ``orders:overridden``, counted, and
-ordered back.
+On an engine that refuses old fencing numbers, an order of a former lease holder has
+no effect. For an engine that ignores them, these rules apply: a holder checks its
+lease right before each send; orders expire with the lease; a new holder waits until
+the lease has expired and orders only by a report made after that. One case remains: a
+holder that is paused between the check and the send until after the order's expiry,
+on an engine that does not check the expiry either, has one old order carried out. The
+engine's next report shows it; it is logged as ``orders:overridden``, counted, and
+reverted by a new order.
 """
 
 from __future__ import annotations
@@ -18,15 +18,15 @@
 from ..configuration.document import Document, EngineSpec
 from ..policies.reports import EngineReport
 
-# The most engines of one model, as a share, that drain at one time for a change.
+# The largest share of a model's engines that may drain for a change at one time.
 ROLLING_SHARE = 0.25
 
 OrderKind = Literal["load_model", "load_adapter", "unload_adapter", "set_role"]
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
-class Wanted:
-    """One difference that an order would settle."""
+class Change:
+    """One change that an order makes on an engine."""
 
     kind: OrderKind
     model: str = ""
@@ -36,7 +36,7 @@
 
     @property
     def needs_weights(self) -> bool:
-        """Return whether the engine will fetch from the weight store."""
+        """Return whether the change makes the engine read from the weight store."""
         return self.kind in ("load_model", "load_adapter")
 
 
@@ -47,9 +47,9 @@
     Parameters
     ----------
     order_id : str
-        The same for each sending of one order, so that it is carried out once.
+        Stays the same when an order is sent again, so that it is carried out once.
     fencing : int
-        The lease's number.
+        The lease's fencing number.
     expires_at : float
         Wall time after which the engine should refuse it.
     """
@@ -66,66 +66,67 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Comparison:
-    """What an engine's report says against the document.
+    """How an engine's report differs from the document.
 
     Parameters
     ----------
-    wanted : tuple of Wanted
-        What to order now, in order.
+    changes : tuple of Change
+        The changes that may be ordered now, first to last.
     is_waiting : bool
-        Whether something is left to order once the engine's work has ended.
+        Whether more changes follow once the engine has finished its work.
     """
 
-    wanted: tuple[Wanted, ...] = ()
+    changes: tuple[Change, ...] = ()
     is_waiting: bool = False
 
     @property
     def is_settled(self) -> bool:
-        """Return whether the engine is as it should be."""
-        return not self.wanted and not self.is_waiting
+        """Return whether the engine is in the documented state."""
+        return not self.changes and not self.is_waiting
 
 
 def compare(document: Document, spec: EngineSpec, report: EngineReport) -> Comparison:
-    """Return what to order of one engine.
+    """Return the changes to order of one engine.
 
-    Loading another model and unloading an adapter could cut what the engine is
-    generating, so it is told to drain first, waited for however long that takes, and
-    told to serve again at the end. Adapters are asked for only once the engine
-    reports their model, as loading a model drops the old one's adapters.
+    Loading another model or unloading an adapter could cut off running generations.
+    The engine is therefore drained first, for as long as that takes, and set to serve
+    again at the end. Adapters are ordered only once the engine reports their model,
+    as loading a model drops the adapters of the former one.
     """
     if spec.role == "drain" and report.role != "drain":
-        return Comparison(wanted=(_set_role("drain"),))
-    disruptive = _disruptive(document, spec, report)
+        return Comparison(changes=(_set_role("drain"),))
+    disruptive = _disruptive_changes(document, spec, report)
     if disruptive and report.model:
-        # An engine that merely looks idle may be given work before the order comes;
-        # one that reports that it drains and has none left stays without.
+        # A serving engine that is idle may receive work before the order arrives; a
+        # drained one stays idle.
         if report.role != "drain":
-            return Comparison(wanted=(_set_role("drain"),))
+            return Comparison(changes=(_set_role("drain"),))
         if report.n_running + report.n_waiting > 0:
             return Comparison(is_waiting=True)
-    wanted = [*disruptive, *_missing_adapters(document, spec, report)]
-    if not wanted and report.role != spec.role:
-        wanted.append(_set_role(spec.role))
-    return Comparison(wanted=tuple(wanted))
+    changes = [*disruptive, *_missing_adapters(document, spec, report)]
+    if not changes and report.role != spec.role:
+        changes.append(_set_role(spec.role))
+    return Comparison(changes=tuple(changes))
 
 
 def is_rolling(spec: EngineSpec, report: EngineReport) -> bool:
-    """Return whether an engine drains only for a change, to serve again after it."""
+    """Return whether an engine drains for a change and is to serve again after it."""
     return spec.role == "serve" and report.role == "drain"
 
 
 def may_begin_roll(*, n_rolling: int, n_serving: int, n_engines: int) -> bool:
     """Return whether one more engine of a model may drain for a change.
 
-    Were all told to drain at once, nobody would be left to take new generations
-    until the longest of the running ones has ended.
+    If all engines drained at once, none could take new generations until the longest
+    running one has ended.
 
     Parameters
     ----------
     n_rolling : int
         Engines of the model that drain for a change.
     n_serving : int
-        Engines of the model that report and serve, the one in question included.
+        Engines of the model that report that they serve, including the engine in
+        question.
     n_engines : int
         Engines of the model in the document.
     """
@@ -134,16 +135,16 @@
     return n_rolling < max(1, int(n_engines * ROLLING_SHARE))
 
 
-def _disruptive(
+def _disruptive_changes(
     document: Document, spec: EngineSpec, report: EngineReport
-) -> list[Wanted]:
-    version = _version(document, spec.model)
+) -> list[Change]:
+    version = _model_version(document, spec.model)
     if version is None:
         return []
     if (report.model, report.version) != (spec.model, version):
-        return [Wanted(kind="load_model", model=spec.model, version=version)]
+        return [Change(kind="load_model", model=spec.model, version=version)]
     return [
-        Wanted(kind="unload_adapter", model=spec.model, adapter=name)
+        Change(kind="unload_adapter", model=spec.model, adapter=name)
         for name in report.adapters
         if name not in spec.adapters
     ]
@@ -151,11 +152,14 @@
 
 def _missing_adapters(
     document: Document, spec: EngineSpec, report: EngineReport
-) -> list[Wanted]:
-    if (report.model, report.version) != (spec.model, _version(document, spec.model)):
+) -> list[Change]:
+    if (report.model, report.version) != (
+        spec.model,
+        _model_version(document, spec.model),
+    ):
         return []
     return [
-        Wanted(
+        Change(
             kind="load_adapter",
             model=spec.model,
             version=_adapter_version(document, spec.model, name),
@@ -166,11 +170,11 @@
     ]
 
 
-def _set_role(role: str) -> Wanted:
-    return Wanted(kind="set_role", role=role)
+def _set_role(role: str) -> Change:
+    return Change(kind="set_role", role=role)
 
 
-def _version(document: Document, model: str) -> str | None:
+def _model_version(document: Document, model: str) -> str | None:
     return next((m.version for m in document.models if m.name == model), None)
 
 
--- a/celerytrail/orders/reconciler.py
+++ b/celerytrail/orders/reconciler.py
@@ -1,4 +1,4 @@
-"""Orders engines to be as the document says, one node at a time for each engine."""
+"""Orders engines into the documented state, from one node at a time per engine."""
 
 from __future__ import annotations
 
@@ -24,16 +24,16 @@
 from ..policies.reports import EngineReport, SeenReport
 from ..types import Address
 from .leases import LEASE_SECONDS, Lease, LeaseKeeper
-from .order import Order, Wanted, compare, is_rolling, may_begin_roll
+from .order import Change, Order, compare, is_rolling, may_begin_roll
 from .pacing import LoadPacer
 
-STEP_SECONDS = 1.0
-TRY_SECONDS = 5.0
-# Reports lag, so a carried-out order shows only after a while.
-SETTLE_SECONDS = 5.0
-RETRY_SECONDS = 1.0
+STEP_INTERVAL_SECONDS = 1.0
+REQUEST_TIMEOUT_SECONDS = 5.0
+# Reports lag, so the effect of an order shows only after a while.
+REPORT_LAG_SECONDS = 5.0
+RETRY_INTERVAL_SECONDS = 1.0
 
-# What an engine reported longer ago tells nothing of it now.
+# An older report no longer shows the engine's present state.
 MAX_REPORT_AGE_SECONDS = 30.0
 
 
@@ -60,49 +60,55 @@
 
 
 @dataclass(kw_only=True, slots=True)
-class _Work:
-    """What this node knows of its orders to one engine; it changes as they go."""
+class _EngineState:
+    """The state of this node's orders to one engine.
+
+    ``lease_retry_at`` is the monotonic time before which no lease is requested;
+    ``seen_fencing`` is the highest fencing number that the engine refused an order
+    with; reports from before ``min_report_at`` are not acted on; ``load_slots`` and
+    ``order_ids`` belong to changes that are not yet carried out; ``last_settled`` is
+    the document version and incarnation at which the engine last matched.
+    """
 
     lease: Lease | None = None
-    ask_at: float = 0.0
-    above: int = 0
-    report_after: float = 0.0
-    slots: dict[Wanted, float] = field(default_factory=dict)
-    ids: dict[Wanted, str] = field(default_factory=dict)
-    ordered: Wanted | None = None
+    lease_retry_at: float = 0.0
+    seen_fencing: int = 0
+    min_report_at: float = 0.0
+    load_slots: dict[Change, float] = field(default_factory=dict)
+    order_ids: dict[Change, str] = field(default_factory=dict)
+    last_sent: Change | None = None
     resend_at: float = 0.0
-    settled: tuple[int, str] | None = None
+    last_settled: tuple[int, str] | None = None
 
 
 class EngineReconciler:
-    """Compares and orders, for the engines that this node looks after.
+    """Orders the changes that bring this node's engines to the document's state.
 
-    It is driven by what engines report, not by what was ordered: whatever makes an
-    engine differ from the document, a lost order, a restart or an order of a former
-    holder, is met in the same way.
+    Orders follow from what engines report, not from what was ordered before, so a
+    lost order, a restart and an order of a former lease holder are all handled alike.
 
     Parameters
     ----------
     configuration : Configuration
-        What should be.
+        The state that engines should be in.
     reports : callable
-        Returns the newest report of each engine that this node looks after, by name;
-        two nodes that look after the same one are kept apart by the lease.
+        Returns the newest report of each engine that this node follows, by name.
+        Several nodes may follow one engine; the lease lets one of them order.
     leases : LeaseKeeper
-        Takes leases, one for each engine, and only when there is something to order.
+        Takes one lease per engine, only while there is something to order.
     pacer : LoadPacer
-        Says when a load may begin.
+        Reserves the times at which loads of weights may begin.
     head_version : callable
-        Reads the newest accepted version, so that a node that slept through one
-        orders nothing by the old one.
+        Reads the newest accepted version, so that a node that missed one does not
+        order by an older document.
     http : HttpClient
         Sends orders.
     clock : Clock
         Its monotonic time must be the loop's.
     rng : random.Random
-        Spreads the steps.
+        Adds jitter to the steps and draws order ids.
     metrics : Metrics or None
-        Where orders are counted, by outcome.
+        Counts orders by outcome.
     """
 
     def __init__(
@@ -127,49 +133,54 @@
         self._clock = clock
         self._rng = rng
         self._metrics = metrics
-        self._work: dict[str, _Work] = {}
+        self._states: dict[str, _EngineState] = {}
 
     async def run(self) -> None:
-        """Step for ever."""
+        """Step forever."""
         while True:
             try:
                 await self.step()
             except Exception as exc:
-                # A fault met with one engine must not end the orders to all others.
+                # A fault with one engine must not stop the orders to all others.
                 log_message("orders:step_failed", problem=repr(exc))
-            await asyncio.sleep(STEP_SECONDS * self._rng.uniform(0.8, 1.2))
+            await asyncio.sleep(STEP_INTERVAL_SECONDS * self._rng.uniform(0.8, 1.2))
 
     async def step(self) -> None:
-        """Compare once and send what is due."""
+        """Compare all engines with the document once and send the orders due."""
         versioned = self._configuration.current
         document = versioned.document
-        reports = {n: r for n, r in self._reports().items() if not self._is_old(r)}
-        self._forget({spec.name for spec in document.engines})
-        rolls = _Rolls(document=document, reports=reports)
+        reports = {n: r for n, r in self._reports().items() if not self._is_stale(r)}
+        self._remove_unlisted({spec.name for spec in document.engines})
+        rolls = _RollingChanges(document=document, reports=reports)
         due = []
         for spec in document.engines:
             seen = reports.get(spec.name)
             if seen is None:
                 continue
-            found = compare(document, spec, seen.report)
-            if found.is_settled:
-                await self._settle(spec.name, versioned, seen.report)
-            elif found.wanted and rolls.allow(spec, found.wanted[0]):
-                due.append((spec, seen, found.wanted[0]))
-        if due and await self._is_current(versioned):
+            comparison = compare(document, spec, seen.report)
+            if comparison.is_settled:
+                await self._on_settled(spec.name, versioned, seen.report)
+            elif comparison.changes and rolls.try_begin(spec, comparison.changes[0]):
+                due.append((spec, seen, comparison.changes[0]))
+        if due and await self._is_newest_version(versioned):
             await asyncio.gather(
-                *(self._order(versioned, spec, seen, want) for spec, seen, want in due)
+                *(
+                    self._order_change(versioned, spec, seen, change)
+                    for spec, seen, change in due
+                )
             )
 
-    def _forget(self, names: set[str]) -> None:
-        for name in [name for name in self._work if name not in names]:
-            del self._work[name]
+    def _remove_unlisted(self, names: set[str]) -> None:
+        for name in [name for name in self._states if name not in names]:
+            del self._states[name]
 
-    def _is_old(self, seen: SeenReport) -> bool:
+    def _is_stale(self, seen: SeenReport) -> bool:
         return self._clock.monotonic() - seen.at > MAX_REPORT_AGE_SECONDS
 
-    async def _is_current(self, versioned: VersionedDocument) -> bool:
-        head = await self._head_version(self._clock.monotonic() + TRY_SECONDS)
+    async def _is_newest_version(self, versioned: VersionedDocument) -> bool:
+        head = await self._head_version(
+            self._clock.monotonic() + REQUEST_TIMEOUT_SECONDS
+        )
         if isinstance(head, Err):
             self._count("store_down")
             return False
@@ -178,93 +189,102 @@
             return False
         return True
 
-    async def _settle(
+    async def _on_settled(
         self, name: str, versioned: VersionedDocument, report: EngineReport
     ) -> None:
-        """Note that an engine is as it should be, and let go of its lease."""
-        work = self._work.setdefault(name, _Work())
-        work.settled = (versioned.version, report.incarnation)
-        work.slots.clear()
-        work.ids.clear()
-        work.resend_at = 0.0
-        if work.lease is not None:
-            lease, work.lease = work.lease, None
-            deadline = self._clock.monotonic() + TRY_SECONDS
-            await self._leases.give_up(lease, deadline)
-
-    async def _order(
+        """Record that an engine matches the document, and release its lease."""
+        state = self._states.setdefault(name, _EngineState())
+        state.last_settled = (versioned.version, report.incarnation)
+        state.load_slots.clear()
+        state.order_ids.clear()
+        state.resend_at = 0.0
+        if state.lease is not None:
+            lease, state.lease = state.lease, None
+            deadline = self._clock.monotonic() + REQUEST_TIMEOUT_SECONDS
+            await self._leases.release(lease, deadline)
+
+    async def _order_change(
         self,
         versioned: VersionedDocument,
         spec: EngineSpec,
         seen: SeenReport,
-        wanted: Wanted,
+        change: Change,
     ) -> None:
-        work = self._work.setdefault(spec.name, _Work())
-        self._note_overridden(work, versioned, spec, seen.report)
-        if wanted == work.ordered and self._clock.monotonic() < work.resend_at:
+        state = self._states.setdefault(spec.name, _EngineState())
+        self._record_override(state, versioned, spec, seen.report)
+        if change == state.last_sent and self._clock.monotonic() < state.resend_at:
             return
-        # The wait for a slot may be long, so it comes before the lease: a lease held
-        # for each engine of a large roll-out would cost a write every few seconds.
-        if wanted.needs_weights and not await self._may_load(work, wanted):
+        # The wait for a slot may be long, so it comes before the lease: holding a
+        # lease for each engine of a large roll-out would cost a write every few
+        # seconds.
+        if change.needs_weights and not await self._may_begin_load(state, change):
             return
-        lease = await self._hold(work, spec, versioned.version)
-        if lease is None or seen.at < work.report_after:
+        lease = await self._ensure_lease(state, spec, versioned.version)
+        if lease is None or seen.at < state.min_report_at:
             return
-        order = self._make_order(work, lease, wanted)
-        work.ordered = wanted
-        work.resend_at = self._clock.monotonic() + RETRY_SECONDS
+        order = self._make_order(state, lease, change)
+        state.last_sent = change
+        state.resend_at = self._clock.monotonic() + RETRY_INTERVAL_SECONDS
         sent = await self._send(spec, lease, order)
         if isinstance(sent, Ok):
-            self._take_answer(work, spec, wanted, sent.ok_value)
+            self._on_answer(state, spec, change, sent.ok_value)
+
+    async def _ensure_lease(
+        self, state: _EngineState, spec: EngineSpec, version: int
+    ) -> Lease | None:
+        """Return the held lease, renewed or newly taken where needed, or None.
 
-    async def _hold(self, work: _Work, spec: EngineSpec, version: int) -> Lease | None:
-        """Return a lease with some time left, or None."""
+        A lease is renewed once half of its time has passed; when that fails, it is
+        returned as it is.
+        """
         now = self._clock.monotonic()
-        lease = work.lease
+        lease = state.lease
         if lease is not None and now + LEASE_SECONDS / 2 < lease.deadline:
             return lease
-        if lease is not None and lease.holds(now):
-            renewed = await self._leases.renew(lease, now + TRY_SECONDS)
+        if lease is not None and lease.is_valid(now):
+            renewed = await self._leases.renew(lease, now + REQUEST_TIMEOUT_SECONDS)
             if isinstance(renewed, Ok):
-                work.lease = renewed.ok_value
-            return work.lease
-        if now < work.ask_at:
+                state.lease = renewed.ok_value
+            return state.lease
+        if now < state.lease_retry_at:
             return None
-        work.ids.clear()
+        state.order_ids.clear()
         taken = await self._leases.take(
             f"orders/{spec.name}",
             document_version=version,
-            deadline=now + TRY_SECONDS,
-            above=work.above,
+            deadline=now + REQUEST_TIMEOUT_SECONDS,
+            seen_fencing=state.seen_fencing,
         )
         if isinstance(taken, Err):
-            work.lease, work.ask_at = None, taken.err_value.ask_at
+            state.lease, state.lease_retry_at = None, taken.err_value.retry_at
             self._count(taken.err_value.reason)
             return None
-        work.lease = taken.ok_value
+        state.lease = taken.ok_value
         if taken.ok_value.is_after_lapse:
-            # The former holder's last order may have been carried out since the
-            # report was made; ordering by that report could undo what is right.
-            work.report_after = self._clock.monotonic()
-        return work.lease
-
-    async def _may_load(self, work: _Work, wanted: Wanted) -> bool:
-        if wanted not in work.slots:
-            slot = await self._pacer.slot(self._clock.monotonic() + TRY_SECONDS)
+            # The former holder's last order may have been carried out after the
+            # report was made; ordering by that report could undo a correct change.
+            state.min_report_at = self._clock.monotonic()
+        return state.lease
+
+    async def _may_begin_load(self, state: _EngineState, change: Change) -> bool:
+        if change not in state.load_slots:
+            slot = await self._pacer.reserve_slot(
+                self._clock.monotonic() + REQUEST_TIMEOUT_SECONDS
+            )
             if isinstance(slot, Err):
                 return False
-            work.slots[wanted] = slot.ok_value
-        return self._clock.wall() >= work.slots[wanted]
+            state.load_slots[change] = slot.ok_value
+        return self._clock.wall() >= state.load_slots[change]
 
-    def _make_order(self, work: _Work, lease: Lease, wanted: Wanted) -> Order:
+    def _make_order(self, state: _EngineState, lease: Lease, change: Change) -> Order:
         default = f"{lease.holder}-{self._rng.getrandbits(32):08x}"
         return Order(
-            order_id=work.ids.setdefault(wanted, default),
-            kind=wanted.kind,
-            model=wanted.model,
-            version=wanted.version,
-            adapter=wanted.adapter,
-            role=wanted.role,
+            order_id=state.order_ids.setdefault(change, default),
+            kind=change.kind,
+            model=change.model,
+            version=change.version,
+            adapter=change.adapter,
+            role=change.role,
             fencing=lease.fencing,
             expires_at=self._clock.wall_of_deadline(lease.deadline),
         )
@@ -272,67 +292,67 @@
     async def _send(
         self, spec: EngineSpec, lease: Lease, order: Order
     ) -> Result[Response, None]:
-        """Send under the lease; the client looks at its deadline right before."""
+        """Send under the lease; the client checks the deadline right before."""
         now = self._clock.monotonic()
-        if not lease.holds(now):
+        if not lease.is_valid(now):
             self._count("lapsed")
             return Err(None)
         log_message(
             "orders:send", engine=spec.name, kind=order.kind, fencing=order.fencing
         )
-        made = await self._http.request(
+        answered = await self._http.request(
             Address.parse(spec.address),
             "POST",
             "/orders",
             body=msgspec.json.encode(order),
             headers={"content-type": "application/json"},
-            deadline=min(lease.deadline, now + TRY_SECONDS),
+            deadline=min(lease.deadline, now + REQUEST_TIMEOUT_SECONDS),
             fresh=True,
         )
-        if isinstance(made, Err):
-            self._count(made.err_value.reason)
+        if isinstance(answered, Err):
+            self._count(answered.err_value.reason)
             return Err(None)
-        return Ok(made.ok_value)
+        return Ok(answered.ok_value)
 
-    def _take_answer(
-        self, work: _Work, spec: EngineSpec, wanted: Wanted, res: Response
+    def _on_answer(
+        self, state: _EngineState, spec: EngineSpec, change: Change, res: Response
     ) -> None:
         if res.status == 200:
             self._count("carried_out")
-            work.resend_at = self._clock.monotonic() + SETTLE_SECONDS
-            # Should it show up as wanted again, that is a new order.
-            work.ids.pop(wanted, None)
-            work.slots.pop(wanted, None)
+            state.resend_at = self._clock.monotonic() + REPORT_LAG_SECONDS
+            # If the same change is due again later, it is a new order.
+            state.order_ids.pop(change, None)
+            state.load_slots.pop(change, None)
             return
         self._count(f"status_{res.status}")
         if res.status == 409:
-            # Somebody has acted with a higher number: this lease is over.
-            work.lease = None
-            work.above = max(work.above, _fencing(res))
+            # Another holder has ordered with a higher number: this lease is lost.
+            state.lease = None
+            state.seen_fencing = max(state.seen_fencing, _seen_fencing(res))
         log_message("orders:refused", engine=spec.name, status=res.status)
 
-    def _note_overridden(
+    def _record_override(
         self,
-        work: _Work,
+        state: _EngineState,
         versioned: VersionedDocument,
         spec: EngineSpec,
         report: EngineReport,
     ) -> None:
-        """Tell operators of a change that nothing in the document asked for."""
-        if work.settled == (versioned.version, report.incarnation):
+        """Log and count a change to a settled engine that the document didn't cause."""
+        if state.last_settled == (versioned.version, report.incarnation):
             log_message(
                 "orders:overridden", engine=spec.name, fencing_kind=spec.fencing
             )
             self._count("overridden")
-        work.settled = None
+        state.last_settled = None
 
     def _count(self, outcome: str) -> None:
         if self._metrics is not None:
             self._metrics.count("orders", outcome=outcome)
 
 
-class _Rolls:
-    """Counts the engines of each model that drain only for a change."""
+class _RollingChanges:
+    """Counts, by model, the engines that drain for a change and those that serve."""
 
     def __init__(
         self, *, document: Document, reports: Mapping[str, SeenReport]
@@ -347,9 +367,13 @@
             self._n_rolling[spec.model] += is_rolling(spec, seen.report)
             self._n_serving[spec.model] += seen.report.role == "serve"
 
-    def allow(self, spec: EngineSpec, wanted: Wanted) -> bool:
-        """Hold back a drain for a change while the model can't spare the engine."""
-        if wanted.role != "drain" or spec.role == "drain":
+    def try_begin(self, spec: EngineSpec, change: Change) -> bool:
+        """Return whether a change may begin, and count it when it drains the engine.
+
+        A drain for a change is held back while too few other engines of the model
+        serve; all other changes may begin at once.
+        """
+        if change.role != "drain" or spec.role == "drain":
             return True
         if not may_begin_roll(
             n_rolling=self._n_rolling[spec.model],
@@ -362,12 +386,13 @@
         return True
 
 
-class _OldFencing(msgspec.Struct):
+class _FencingRefusal(msgspec.Struct):
     fencing: int = 0
 
 
-def _fencing(res: Response) -> int:
+def _seen_fencing(res: Response) -> int:
+    """Return the fencing number in an engine's refusal; 0 when it has none."""
     try:
-        return msgspec.json.decode(res.body, type=_OldFencing).fencing
+        return msgspec.json.decode(res.body, type=_FencingRefusal).fencing
     except msgspec.MsgspecError:
         return 0
