--- a/tests/test_leases.py
+++ b/tests/test_leases.py
@@ -1,4 +1,4 @@
-"""Leases: two holders never both believe in one, whatever is lost or paused."""
+"""Leases: at most one holder at a time, whatever is lost or paused."""
 
 from __future__ import annotations
 
@@ -17,10 +17,12 @@
 from celerytrail.platform.table import Put, Transaction
 from tests.fakes import FakeTable
 
-WHOLE = LEASE_SECONDS + MARGIN_SECONDS
+TAKEOVER_SECONDS = LEASE_SECONDS + MARGIN_SECONDS
 
 
-class Pair:
+class KeeperPair:
+    """Two keepers on one table and one clock."""
+
     def __init__(self):
         self.table = FakeTable()
         self.clock = LoopClock()
@@ -38,87 +40,87 @@
 
 @pytest.fixture
 async def pair():
-    yield Pair()
+    yield KeeperPair()
 
 
 @pytest.mark.looptime
 class TestLease:
-    async def test_given_up_is_free_at_once_with_a_higher_number(self, pair):
+    async def test_released_lease_is_free_at_once_with_higher_fencing(self, pair):
         first = (await pair.take(pair.a)).ok_value
-        await pair.a.give_up(first, first.deadline)
+        await pair.a.release(first, first.deadline)
         second = (await pair.take(pair.b)).ok_value
         assert second.fencing == first.fencing + 1
         assert not second.is_after_lapse
 
-    async def test_others_wait_until_the_holder_has_surely_stopped(self, pair):
-        """The holder is paused and never gives up. Another node takes over, but only
-        when the holder's own count has ended for certain.
+    async def test_takeover_waits_until_holder_count_has_ended(self, pair):
+        """The holder is paused and never releases the lease. Another node takes over
+        only once the holder's own count has surely ended.
         """
         held = (await pair.take(pair.a)).ok_value
         refused = (await pair.take(pair.b)).err_value
         assert refused.reason == "held"
-        assert refused.ask_at >= held.deadline + MARGIN_SECONDS
+        assert refused.retry_at >= held.deadline + MARGIN_SECONDS
         await sleep_until(pair, held.deadline - 0.001)
-        assert held.holds(pair.clock.monotonic())
+        assert held.is_valid(pair.clock.monotonic())
         assert (await pair.take(pair.b)).is_err()
-        await sleep_until(pair, refused.ask_at)
+        await sleep_until(pair, refused.retry_at)
         taken = (await pair.take(pair.b)).ok_value
-        assert not held.holds(pair.clock.monotonic())
+        assert not held.is_valid(pair.clock.monotonic())
         assert taken.is_after_lapse
         assert taken.fencing > held.fencing
 
-    async def test_renewed_lease_is_waited_for_anew(self, pair):
+    async def test_renewal_restarts_the_takeover_wait(self, pair):
         held = (await pair.take(pair.a)).ok_value
         await pair.take(pair.b)
         await sleep_until(pair, LEASE_SECONDS - 1.0)
         held = (await pair.a.renew(held, held.deadline)).ok_value
-        await sleep_until(pair, WHOLE + 1.0)
-        assert held.holds(pair.clock.monotonic())
+        await sleep_until(pair, TAKEOVER_SECONDS + 1.0)
+        assert held.is_valid(pair.clock.monotonic())
         assert (await pair.take(pair.b)).is_err()
 
-    async def test_lost_reply_to_a_taking(self, pair):
+    async def test_lost_reply_to_acquisition(self, pair):
         pair.table.lose_replies = 1
         assert (await pair.take(pair.a)).is_ok()
         assert (await pair.take(pair.b)).is_err()
 
-    async def test_lost_renewal_does_not_extend(self, pair):
-        """A renewal never arrives and its reply is lost too. The holder finds its own
-        id in the row all the same, but must not count from the renewal: others count
-        from the first taking.
+    async def test_lost_renewal_does_not_extend_lease(self, pair):
+        """A renewal has no effect and its reply is lost. The row still has the holder's
+        id from the acquisition, but the holder must not count from the renewal: others
+        count from the acquisition.
         """
         held = (await pair.take(pair.a)).ok_value
         first = (await pair.take(pair.b)).err_value
         await sleep_until(pair, LEASE_SECONDS - 1.0)
         pair.table.drop_writes = 1
         assert (await pair.a.renew(held, held.deadline)).is_err()
-        await sleep_until(pair, first.ask_at)
+        await sleep_until(pair, first.retry_at)
         assert (await pair.take(pair.b)).is_ok()
 
-    async def test_two_at_once(self, pair):
-        """Two nodes see a free lease in the same moment and both write. One has it."""
+    async def test_concurrent_acquisitions_give_one_holder(self, pair):
+        """Two nodes read a free lease at once and both write; only one gets it."""
         results = await asyncio.gather(pair.take(pair.a), pair.take(pair.b))
         assert sorted(result.is_ok() for result in results) == [False, True]
 
-    async def test_lost_taking_leaves_it_free(self, pair):
-        """A taking never arrives and its reply is lost too. Nobody has the lease."""
+    async def test_lost_acquisition_leaves_lease_free(self, pair):
+        """An acquisition has no effect and its reply is lost; the lease stays free."""
         pair.table.drop_writes = 1
         assert (await pair.take(pair.a)).is_err()
         assert (await pair.take(pair.b)).is_ok()
 
-    async def test_old_document_may_not_act(self, pair):
-        """A node slept through three versions and wakes up. It must not get a lease
-        under which engines were already ordered by a newer document.
+    async def test_old_document_is_refused(self, pair):
+        """A node missed three versions. It must not get a lease under which a newer
+        document was already acted on.
         """
         first = (await pair.take(pair.a, version=4)).ok_value
-        await pair.a.give_up(first, first.deadline)
+        await pair.a.release(first, first.deadline)
         assert (await pair.take(pair.b, version=1)).err_value.reason == "old_document"
 
-    async def test_mangled_row_is_nobodys(self, pair):
+    async def test_undecodable_row_is_refused(self, pair):
         row = Put(key=LEASE_PREFIX + "e1", value={"holder": 7})
         await pair.table.transact(Transaction(puts=(row,)), 0.0)
         assert (await pair.take(pair.a)).err_value.reason == "bad_row"
 
-    async def test_store_down(self, pair):
+    async def test_store_down_is_refused(self, pair):
         pair.table.is_down = True
         assert (await pair.take(pair.a)).err_value.reason == "store_down"
 
--- a/tests/test_orders.py
+++ b/tests/test_orders.py
@@ -1,4 +1,4 @@
-"""Orders: engines become as the document says, whoever wakes up late."""
+"""Orders bring engines to the document's state, also after pauses and losses."""
 
 from __future__ import annotations
 
@@ -62,10 +62,11 @@
 
 
 class FakeEngines(HttpClient):
-    """Engines that carry out orders; `does_honour` fencing numbers or not.
+    """Engines that carry out orders.
 
-    ``words`` are the fates of the next orders: ``refused``, ``lost_before``,
-    ``lost_after``; past them all is well. ``gate`` holds an order on its way.
+    ``does_honour`` is whether they refuse old fencing numbers. ``faults`` are those of
+    the next orders: ``refused``, ``lost_before`` or ``lost_after``; further orders
+    succeed. ``gate``, where set, holds an order in flight.
     """
 
     def __init__(self, *, does_honour):
@@ -75,13 +76,13 @@
         self.state = {}
         self.fencing = 0
         self.accepted = []
-        self.words = []
+        self.faults = []
         self.gate = None
         self.n_sent = 0
         self.old_reports = None
 
     def freeze_reports(self):
-        """Give the reports of now from now on."""
+        """Return the present reports from now on."""
         self.old_reports = self.reports()
 
     def reports(self):
@@ -94,16 +95,16 @@
     async def request(self, address, method, path, **kwargs):
         self.n_sent += 1
         await asyncio.sleep(0.001)
-        word = self.words.pop(0) if self.words else "ok"
-        if word == "refused":
+        fault = self.faults.pop(0) if self.faults else "ok"
+        if fault == "refused":
             return Err(NotSent(reason="connect_refused"))
         if self.gate is not None:
             await self.gate.wait()
         order = msgspec.json.decode(kwargs["body"], type=Order)
-        if word == "lost_before":
+        if fault == "lost_before":
             return Err(Lost(reason="cut"))
         answer = self.carry_out(order, f"e{address.port - 9000}")
-        return Err(Lost(reason="cut")) if word == "lost_after" else answer
+        return Err(Lost(reason="cut")) if fault == "lost_after" else answer
 
     def carry_out(self, order, name):
         if self.does_honour and order.fencing < self.fencing:
@@ -128,7 +129,7 @@
 
 
 class Fleet:
-    """Two nodes that both look after one engine."""
+    """Two nodes that both follow one engine."""
 
     def __init__(self, *, does_honour=True):
         self.table = FakeTable()
@@ -162,13 +163,14 @@
         )
 
     def accept(self, doc, nodes=(0, 1)):
+        """Accept a new document version and give it to some nodes."""
         self.head = max(c.current.version for c in self.configurations) + 1
-        newer = VersionedDocument(version=self.head, document=doc)
+        versioned = VersionedDocument(version=self.head, document=doc)
         for number in nodes:
-            self.configurations[number].offer(newer)
+            self.configurations[number].offer(versioned)
 
     async def run(self, seconds, nodes=(0, 1)):
-        """Let nodes step once a second."""
+        """Step the nodes once a second."""
         for _ in range(int(seconds)):
             for number in nodes:
                 await self.nodes[number].step()
@@ -179,57 +181,59 @@
         return [order.kind for order in self.engines.accepted]
 
 
-def wanted(doc, spec, rep):
+def changes(doc, spec, rep):
     return [
-        (want.kind, want.adapter or want.role)
-        for want in compare(doc, spec, rep).wanted
+        (change.kind, change.adapter or change.role)
+        for change in compare(doc, spec, rep).changes
     ]
 
 
 class TestCompare:
-    def test_settled_where_all_is_as_it_should_be(self):
+    def test_matching_engine_is_settled(self):
         assert compare(document("1"), SPEC, report()).is_settled
 
-    def test_drain_that_the_document_asks_for_goes_first(self):
+    def test_drain_in_the_document_comes_first(self):
         spec = replace(SPEC, role="drain")
-        assert wanted(document("2"), spec, report()) == [("set_role", "drain")]
-        assert wanted(document("2"), spec, report(role="drain")) == [("load_model", "")]
+        assert changes(document("2"), spec, report()) == [("set_role", "drain")]
+        assert changes(document("2"), spec, report(role="drain")) == [
+            ("load_model", "")
+        ]
 
-    def test_engine_without_a_model_is_loaded_at_once(self):
+    def test_engine_without_model_loads_at_once(self):
         empty = report(model="", version="", adapters=())
-        assert wanted(document("1"), SPEC, empty) == [("load_model", "")]
+        assert changes(document("1"), SPEC, empty) == [("load_model", "")]
 
-    def test_adapters(self):
+    def test_drained_engine_unloads_and_loads_adapters(self):
         drained = report(adapters=("old",), role="drain")
-        assert wanted(document("1"), SPEC, drained) == [
+        assert changes(document("1"), SPEC, drained) == [
             ("unload_adapter", "old"),
             ("load_adapter", "legal"),
         ]
 
-    def test_model_that_is_not_in_the_document_is_left_alone(self):
+    def test_model_missing_in_document_changes_nothing(self):
         spec = replace(SPEC, model="gone", adapters=())
         assert compare(document("1"), spec, report(adapters=())).is_settled
 
-    def test_change_never_cuts_a_draft(self):
-        """A new version is accepted while an engine writes drafts. Loaded at once it
-        would cut them; so the engine drains, is waited for, loads and serves again.
+    def test_change_never_cuts_off_a_generation(self):
+        """A new version is accepted while an engine generates. Loading it at once would
+        cut off the generations, so the engine drains first, then loads and serves.
         """
         busy = report(n_running=3)
-        # One that looks idle may be given a draft before the order comes.
+        # An idle engine may receive a generation before the order arrives.
         for rep in (busy, report()):
-            assert wanted(document("2"), SPEC, rep) == [("set_role", "drain")]
+            assert changes(document("2"), SPEC, rep) == [("set_role", "drain")]
         draining = compare(document("2"), SPEC, replace(busy, role="drain"))
-        assert (draining.wanted, draining.is_waiting) == ((), True)
+        assert (draining.changes, draining.is_waiting) == ((), True)
         idle = report(role="drain")
-        assert wanted(document("2"), SPEC, idle) == [("load_model", "")]
+        assert changes(document("2"), SPEC, idle) == [("load_model", "")]
         loaded = report(role="drain", version="2")
-        assert wanted(document("2"), SPEC, loaded) == [("set_role", "serve")]
-        # What cuts nothing is not held up by work in progress.
-        assert wanted(document("1"), SPEC, report(adapters=(), n_running=3)) == [
+        assert changes(document("2"), SPEC, loaded) == [("set_role", "serve")]
+        # A change that cuts nothing off does not wait for running generations.
+        assert changes(document("1"), SPEC, report(adapters=(), n_running=3)) == [
             ("load_adapter", "legal")
         ]
 
-    def test_a_quarter_of_a_model_at_one_time(self):
+    def test_at_most_a_quarter_of_a_model_drains(self):
         for n_engines, allowed in ((6, 1), (8, 2)):
             for n in range(3):
                 may = may_begin_roll(
@@ -237,9 +241,9 @@
                 )
                 assert may == (n < allowed)
 
-    def test_last_one_that_serves_is_not_drained(self):
-        """Of two engines one is dead. Were the other drained for a change, new drafts
-        would find no engine at all until its last draft has ended.
+    def test_last_serving_engine_is_not_drained(self):
+        """One of two engines is dead. If the other drained for a change, no engine
+        would take new generations until its last running one has ended.
         """
         assert not may_begin_roll(n_rolling=0, n_serving=1, n_engines=2)
         assert may_begin_roll(n_rolling=0, n_serving=1, n_engines=1)
@@ -247,7 +251,7 @@
 
 @pytest.mark.looptime
 class TestReconciler:
-    async def test_brings_the_engine_to_the_document(self):
+    async def test_engine_is_brought_to_the_document(self):
         fleet = Fleet()
         await fleet.run(3)
         assert fleet.table.n_transactions == 0
@@ -257,9 +261,9 @@
         assert fleet.engines.state["e1"]["version"] == "2"
         assert fleet.table.rows.read(["leases/orders/e1"])[0]["value"]["holder"] == ""
 
-    async def test_roll_leaves_most_engines_serving(self):
-        """Six busy engines get a new version. Only one of them drains at a time, so
-        that new drafts always find a place.
+    async def test_roll_out_keeps_most_engines_serving(self):
+        """Six busy engines get a new version. Only one drains at a time, so that the
+        others can take new generations.
         """
         fleet = Fleet()
         specs = tuple(
@@ -274,13 +278,13 @@
             ("set_role", "drain")
         ]
 
-    @pytest.mark.parametrize("word", ["refused", "lost_before", "lost_after"])
-    async def test_lost_order_is_sent_again_and_carried_out_once(self, word):
-        """An order or its answer is lost. It is sent again under the same id, so that
-        the engine does not load the model a second time.
+    @pytest.mark.parametrize("fault", ["refused", "lost_before", "lost_after"])
+    async def test_lost_order_is_resent_and_carried_out_once(self, fault):
+        """An order or its answer is lost. The order is sent again under the same id, so
+        that the engine does not load the model twice.
         """
         fleet = Fleet()
-        fleet.engines.words = [word]
+        fleet.engines.faults = [fault]
         fleet.accept(document("2"))
         fleet.engines.freeze_reports()
         await fleet.run(4)
@@ -295,12 +299,12 @@
         await fleet.run(20)
         assert fleet.kinds == ["load_model", "load_adapter"]
 
-    async def test_frozen_holder_is_waited_out(self):
-        """The node that gives orders freezes. Another one takes over only when the
-        first one's lease is surely over, and finishes the work.
+    async def test_takeover_waits_for_a_frozen_holder(self):
+        """The node that holds the lease freezes. Another takes over only once the lease
+        has surely expired, and completes the changes.
         """
         fleet = Fleet()
-        fleet.engines.words = ["refused"]
+        fleet.engines.faults = ["refused"]
         fleet.accept(document("2"))
         await fleet.run(1, nodes=(0,))
         await fleet.run(LEASE_SECONDS, nodes=(1,))
@@ -308,13 +312,13 @@
         await fleet.run(MARGIN_SECONDS + 10, nodes=(1,))
         assert fleet.engines.state["e1"]["version"] == "2"
 
-    async def test_new_holder_reads_back_first(self):
-        """The former holder's order may have been carried out after the last report
-        came. The new holder orders nothing by that report: it could undo what is
-        right.
+    async def test_new_holder_waits_for_a_new_report(self):
+        """The former holder's order may have been carried out after the last report.
+        Ordering by that report could undo a correct change, so the new holder waits
+        for a newer one.
         """
         fleet = Fleet()
-        fleet.engines.words = ["refused"]
+        fleet.engines.faults = ["refused"]
         fleet.accept(document("2"))
         await fleet.run(1, nodes=(0,))
         fleet.engines.freeze_reports()
@@ -324,12 +328,12 @@
         await fleet.run(10, nodes=(1,))
         assert fleet.engines.state["e1"]["version"] == "2"
 
-    async def test_lease_that_lapses_while_it_is_renewed(self):
-        """The platform stands still while a node renews its lease, for longer than
-        the lease. The node must notice before it sends, as another may hold it now.
+    async def test_lease_that_expires_during_renewal_sends_nothing(self):
+        """The platform stalls a lease renewal for longer than the lease. The node must
+        check the lease before it sends, as another node may hold it by then.
         """
         fleet = Fleet()
-        fleet.engines.words = ["refused"] * 100
+        fleet.engines.faults = ["refused"] * 100
         fleet.accept(document("2"))
         await fleet.run(LEASE_SECONDS // 2, nodes=(0,))
         fleet.table.gate = asyncio.Event()
@@ -342,25 +346,26 @@
         await step
         assert fleet.engines.n_sent == n_sent
 
-    async def test_thawed_holder_is_refused_by_an_engine_that_checks(self):
-        """A node is paused with an order half sent. Meanwhile another took over and a
-        newer version was accepted and loaded. The old order arrives after all: an
-        engine that looks at fencing numbers refuses it.
+    async def test_resumed_holder_is_refused_by_engine_that_honours_fencing(self):
+        """A node is paused with an order in flight. Another takes over, and a newer
+        version is accepted and loaded. When the old order arrives, an engine that
+        honours fencing numbers refuses it.
         """
-        fleet = await self.thaw(Fleet(does_honour=True))
+        fleet = await self.resume_paused_order(Fleet(does_honour=True))
         assert fleet.kinds == FULL_CHANGE
         assert fleet.engines.state["e1"]["version"] == "3"
 
-    async def test_thawed_holder_is_repaired_on_an_engine_that_does_not(self):
-        """The same with an engine that ignores the numbers: it does load the old
-        version for a moment. The next report shows it, and it is ordered back.
+    async def test_resumed_holder_order_is_reverted_without_fencing(self):
+        """As above with an engine that ignores fencing numbers: it loads the old
+        version. Its next report shows that, and the newest version is ordered again.
         """
-        fleet = await self.thaw(Fleet(does_honour=False))
+        fleet = await self.resume_paused_order(Fleet(does_honour=False))
         loads = [o.version for o in fleet.engines.accepted if o.kind == "load_model"]
         assert loads == ["3", "2", "3"]
         assert fleet.engines.state["e1"]["version"] == "3"
 
-    async def thaw(self, fleet):
+    async def resume_paused_order(self, fleet):
+        """Pause an order for version 2 until the other node has loaded version 3."""
         fleet.accept(document("2"))
         await fleet.run(1, nodes=(0,))
         assert fleet.kinds == ["set_role"]
@@ -376,9 +381,9 @@
         await fleet.run(20, nodes=(0, 1))
         return fleet
 
-    async def test_node_with_an_old_document_orders_nothing(self):
-        """A node was frozen through three versions and thaws with the oldest. By its
-        document the engine is wrong, but it must not order the engine back.
+    async def test_node_with_old_document_orders_nothing(self):
+        """A node was frozen during three versions and resumes with the oldest. It must
+        not order the engine back to that version.
         """
         fleet = Fleet()
         for version in ("2", "3", "4"):
@@ -389,9 +394,9 @@
         assert fleet.engines.state["e1"]["version"] == "4"
         assert len(fleet.engines.accepted) == n_orders
 
-    async def test_node_with_an_old_document_and_no_order_before(self):
-        """The same for an engine that came up with the newest version by itself, so
-        that no lease tells of it: the node asks for the accepted version first.
+    async def test_node_with_old_document_checks_the_accepted_version(self):
+        """As above for an engine that started with the newest version, so that no lease
+        row holds that version: the node reads the accepted version first.
         """
         fleet = Fleet()
         fleet.accept(document("2"), nodes=(1,))
@@ -399,7 +404,7 @@
         await fleet.run(10, nodes=(0,))
         assert fleet.engines.n_sent == 0
 
-    async def test_platform_down_orders_nothing_and_catches_up(self):
+    async def test_platform_outage_delays_orders(self):
         fleet = Fleet()
         fleet.table.is_down = True
         fleet.accept(document("2"))
@@ -412,25 +417,27 @@
 
 @pytest.mark.looptime
 class TestPacing:
-    async def test_slots_of_all_nodes_keep_the_rate(self):
-        """A new version is accepted and every node wants to load it at once. The
-        loads are spread over all nodes to what the weight store allows.
+    async def test_slots_of_all_nodes_keep_the_load_rate(self):
+        """A new version is accepted and all nodes want loads at once. Their slots
+        together keep to the rate of the weight store.
         """
         table, clock = FakeTable(), LoopClock()
         pacers = [
             LoadPacer(table=table, clock=clock, loads_per_second=2.0) for _ in range(4)
         ]
         start, deadline = clock.wall(), clock.monotonic() + 1.0
-        slots = [(await pacers[n % 4].slot(deadline)).ok_value for n in range(20)]
+        slots = [
+            (await pacers[n % 4].reserve_slot(deadline)).ok_value for n in range(20)
+        ]
         assert slots == pytest.approx([start + n / 2.0 for n in range(20)], abs=0.01)
 
-    async def test_row_of_a_clock_that_ran_ahead(self):
-        """A node whose clock is a month ahead took a slot. Were its time believed,
-        no engine would load anything for a month.
+    async def test_slot_of_a_clock_far_ahead_is_ignored(self):
+        """A node whose clock is a month ahead reserves a slot. If that slot counted, no
+        engine would load anything for a month.
         """
         table, clock = FakeTable(), LoopClock()
         ahead = LoopClock(wall_offset=clock.wall_offset + 30 * 24 * 3600.0)
         deadline = clock.monotonic() + 1.0
-        await LoadPacer(table=table, clock=ahead).slot(deadline)
-        slot = await LoadPacer(table=table, clock=clock).slot(deadline)
+        await LoadPacer(table=table, clock=ahead).reserve_slot(deadline)
+        slot = await LoadPacer(table=table, clock=clock).reserve_slot(deadline)
         assert slot.ok_value < clock.wall() + 5.0
--- a/tests/test_orders_sockets.py
+++ b/tests/test_orders_sockets.py
@@ -1,4 +1,4 @@
-"""The reconciler against the engine and platform stand-ins, on real sockets."""
+"""The reconciler with the engine and platform stand-ins, over real sockets."""
 
 from __future__ import annotations
 
@@ -34,9 +34,9 @@
 
 @pytest.mark.parametrize("fencing", ["honoured", "ignored"])
 class TestAgainstStandins:
-    async def test_loads_and_shows_who_checks(self, fencing):
-        """A version is accepted and an engine of each kind loads it. An order with an
-        old number then comes in: one refuses it, the other carries it out.
+    async def test_old_order_is_refused_only_where_fencing_is_honoured(self, fencing):
+        """An engine loads the accepted version. An order with an old fencing number
+        follows: an engine that honours fencing refuses it, another carries it out.
         """
         clock, rng, http = SystemClock(), random.Random(1), HttpClient()
         platform = PlatformStandin()
@@ -60,9 +60,9 @@
         configuration = Configuration()
         configuration.offer(VersionedDocument(version=3, document=document))
 
-        async def load():
-            made = await http.request(engine.address, "GET", "/load")
-            return msgspec.json.decode(made.ok_value.body, type=EngineReport)
+        async def read_report():
+            answered = await http.request(engine.address, "GET", "/load")
+            return msgspec.json.decode(answered.ok_value.body, type=EngineReport)
 
         seen = {}
         reconciler = EngineReconciler(
@@ -76,13 +76,13 @@
             rng=rng,
         )
         for _ in range(300):
-            seen["e1"] = SeenReport(report=await load(), at=clock.monotonic())
+            seen["e1"] = SeenReport(report=await read_report(), at=clock.monotonic())
             await reconciler.step()
             if seen["e1"].report.version == "2":
                 break
             await asyncio.sleep(0.02)
         assert seen["e1"].report.fencing == 1
-        old = {
+        old_order = {
             "order_id": "old",
             "kind": "load_model",
             "model": "m",
@@ -90,9 +90,9 @@
             "fencing": 0,
             "expires_at": clock.wall() + 60.0,
         }
-        made = await http.request_json(engine.address, "POST", "/orders", old)
+        answered = await http.request_json(engine.address, "POST", "/orders", old_order)
         is_refused = fencing == "honoured"
-        assert made.ok_value.status == (409 if is_refused else 200)
+        assert answered.ok_value.status == (409 if is_refused else 200)
         assert batch.version == ("2" if is_refused else "1")
         task.cancel()
         http.close()
