--- a/celerytrail/leaving.py
+++ b/celerytrail/leaving.py
@@ -1,4 +1,4 @@
-"""Which endpoints and engines are leaving, from whatever source says so first."""
+"""The endpoints and engines that are leaving, as reported by several sources."""
 
 from __future__ import annotations
 
@@ -8,136 +8,146 @@
 
 from eliot import log_message
 
-Source = Literal["vm_list", "report", "document", "gossip"]
-# How often a word that is said again is told on: what others heard of it runs out.
+LeavingSource = Literal["vm_list", "report", "document", "gossip"]
+# How often a repeated notice is announced again, as other nodes' copies expire.
 RETELL_SECONDS = 30.0
 
-News = Callable[["LeavingFact"], None]
+LeavingSubscriber = Callable[["LeavingFact"], None]
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class LeavingFact:
-    """One source's word that an endpoint or engine is leaving.
+    """One source's notice that an endpoint or engine is leaving.
 
     Parameters
     ----------
     endpoint : str
         Its name in the document.
     source : str
-        Who says so.
+        The source of the notice.
     at : float
-        Wall time since which it is known, in seconds since the epoch.
-    until_at : float or None
-        Wall time at which this word runs out unless it is said again; None for never.
+        Wall time of the first evidence, in seconds since the epoch.
+    expires_at : float or None
+        Wall time at which the notice expires unless it is repeated; None for never.
     """
 
     endpoint: str
-    source: Source
+    source: LeavingSource
     at: float
-    until_at: float | None = None
+    expires_at: float | None = None
 
 
 class LeavingBoard:
-    """Collects the words of all sources; the earliest one counts.
+    """Holds the notices of all sources; any one of them marks an endpoint as leaving.
 
-    Each source lags or can fall silent, so no source is asked to agree: were two
-    needed, an endpoint known to be going would get work until the slower one woke up.
-    A source may withdraw its own word only, for example when a new VM carries on
-    under the name.
+    Each source may lag or fall silent, so one notice is enough: if two were needed, an
+    endpoint known to be leaving would get work until the slower source caught up. A
+    source may withdraw only its own notice, for example when a new VM takes over the
+    name.
     """
 
     def __init__(self) -> None:
-        self._facts: dict[str, dict[Source, LeavingFact]] = {}
-        self._told_at: dict[str, float] = {}
-        self._subscribers: list[News] = []
+        self._notices: dict[str, dict[LeavingSource, LeavingFact]] = {}
+        self._announced_at: dict[str, float] = {}
+        self._subscribers: list[LeavingSubscriber] = []
 
     def note(
-        self, endpoint: str, source: Source, at: float, until_at: float | None = None
+        self,
+        endpoint: str,
+        source: LeavingSource,
+        at: float,
+        expires_at: float | None = None,
     ) -> bool:
-        """Take a source's word; returns whether the endpoint was not known to leave.
+        """Record a source's notice and return whether it is the first valid one.
 
         Parameters
         ----------
         endpoint : str
             The name in the document.
         source : str
-            Who says so.
+            The source of the notice.
         at : float
-            Wall time of the evidence; it counts from then on.
-        until_at : float or None
-            Wall time at which the word runs out.
+            Wall time of the evidence.
+        expires_at : float or None
+            Wall time at which the notice expires; None for never.
         """
-        facts = self._facts.setdefault(endpoint, {})
-        is_new = not any(_holds(f, at) for f in facts.values())
-        known = facts.get(source)
-        since = at if known is None or not _holds(known, at) else min(known.at, at)
-        fact = LeavingFact(
-            endpoint=endpoint, source=source, at=since, until_at=until_at
+        notices = self._notices.setdefault(endpoint, {})
+        is_new = not any(_is_valid(n, at) for n in notices.values())
+        known = notices.get(source)
+        since = at if known is None or not _is_valid(known, at) else min(known.at, at)
+        notice = LeavingFact(
+            endpoint=endpoint, source=source, at=since, expires_at=expires_at
         )
-        facts[source] = fact
+        notices[source] = notice
         if is_new:
             log_message("leaving:known", endpoint=endpoint, source=source, at=at)
-        if is_new or self._is_to_be_told_again(endpoint, source, at):
-            self._told_at[endpoint] = at
+        if is_new or self._should_announce_again(endpoint, source, at):
+            self._announced_at[endpoint] = at
             for subscriber in self._subscribers:
-                subscriber(fact)
+                subscriber(notice)
         return is_new
 
-    def _is_to_be_told_again(self, endpoint: str, source: Source, at: float) -> bool:
-        # Nodes that know it by hearsay alone would forget it when that runs out, and
-        # send work to an endpoint that is still on its way out.
+    def _should_announce_again(
+        self, endpoint: str, source: LeavingSource, at: float
+    ) -> bool:
+        # Nodes that know a notice from gossip alone drop it when it expires, and would
+        # then send work to an endpoint that is still leaving.
         if source == "gossip":
             return False
-        return abs(at - self._told_at.get(endpoint, 0.0)) >= RETELL_SECONDS
+        return abs(at - self._announced_at.get(endpoint, 0.0)) >= RETELL_SECONDS
 
-    def withdraw(self, endpoint: str, source: Source) -> None:
-        """Drop a source's own word."""
-        facts = self._facts.get(endpoint, {})
-        if facts.pop(source, None) is not None:
+    def withdraw(self, endpoint: str, source: LeavingSource) -> None:
+        """Remove a source's own notice."""
+        notices = self._notices.get(endpoint, {})
+        if notices.pop(source, None) is not None:
             log_message("leaving:withdrawn", endpoint=endpoint, source=source)
-        if not facts:
-            self._facts.pop(endpoint, None)
-            self._told_at.pop(endpoint, None)
+        if not notices:
+            self._notices.pop(endpoint, None)
+            self._announced_at.pop(endpoint, None)
 
     def is_leaving(self, endpoint: str, now: float) -> bool:
-        """Return whether any source says that it leaves; ``now`` is wall time."""
-        facts = self._facts.get(endpoint)
-        if facts is None:
+        """Return whether any source has a valid notice; ``now`` is wall time."""
+        notices = self._notices.get(endpoint)
+        if notices is None:
             return False
-        return any(_holds(fact, now) for fact in facts.values())
+        return any(_is_valid(notice, now) for notice in notices.values())
 
-    def first_fact(self, endpoint: str, now: float) -> LeavingFact | None:
-        """Return the earliest word that holds, for operators."""
-        facts = self._facts.get(endpoint, {}).values()
-        holding = [fact for fact in facts if _holds(fact, now)]
-        return min(holding, key=lambda fact: fact.at, default=None)
+    def earliest_notice(self, endpoint: str, now: float) -> LeavingFact | None:
+        """Return an endpoint's earliest valid notice, for operators."""
+        notices = self._notices.get(endpoint, {}).values()
+        valid = [notice for notice in notices if _is_valid(notice, now)]
+        return min(valid, key=lambda notice: notice.at, default=None)
 
     def facts(self, now: float) -> list[LeavingFact]:
-        """Return all words that hold."""
-        every = [fact for facts in self._facts.values() for fact in facts.values()]
-        return [fact for fact in every if _holds(fact, now)]
+        """Return all valid notices."""
+        notices = [
+            notice
+            for by_source in self._notices.values()
+            for notice in by_source.values()
+        ]
+        return [notice for notice in notices if _is_valid(notice, now)]
 
     def forget_stale(self, names: set[str], now: float) -> None:
-        """Drop words that ran out and those about names no longer in the document."""
-        for endpoint in list(self._facts):
-            facts = self._facts[endpoint]
-            kept = {s: f for s, f in facts.items() if _holds(f, now)}
+        """Remove expired notices and those for names no longer in the document."""
+        for endpoint in list(self._notices):
+            notices = self._notices[endpoint]
+            kept = {s: n for s, n in notices.items() if _is_valid(n, now)}
             if endpoint in names and kept:
-                self._facts[endpoint] = kept
+                self._notices[endpoint] = kept
             else:
-                del self._facts[endpoint]
-                self._told_at.pop(endpoint, None)
+                del self._notices[endpoint]
+                self._announced_at.pop(endpoint, None)
 
-    def subscribe(self, subscriber: News) -> None:
+    def subscribe(self, subscriber: LeavingSubscriber) -> None:
         """Call ``subscriber`` when an endpoint becomes known to leave.
 
-        It is called again now and then while a source of this node's own, one that
-        is not hearsay, goes on saying so.
+        It is called again, at most every `RETELL_SECONDS`, while a source other than
+        gossip repeats its notice.
         """
         self._subscribers.append(subscriber)
 
 
-def _holds(fact: LeavingFact, now: float) -> bool:
-    # The time of the evidence plays no part: were it compared with the time now, a
-    # wall clock that jumped back would give work to an endpoint known to be going.
-    return fact.until_at is None or now < fact.until_at
+def _is_valid(notice: LeavingFact, now: float) -> bool:
+    # The time of the evidence is not compared with the time now: after a wall clock
+    # jumped back, an endpoint known to be leaving would get work again.
+    return notice.expires_at is None or now < notice.expires_at
--- a/celerytrail/model.py
+++ b/celerytrail/model.py
@@ -1,4 +1,4 @@
-"""What an operator states and what endpoints say of themselves, as typed values."""
+"""The operator's configuration and the reports of endpoints, as typed values."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class RouteKind(enum.Enum):
-    """What may be repeated of the requests of a route."""
+    """How the requests of a route may be repeated."""
 
     IDEMPOTENT = "idempotent"
     AT_MOST_ONCE = "at_most_once"
@@ -19,7 +19,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class ServiceShare:
-    """A service and its weight among those that share a route's traffic."""
+    """A service and its weight in a route's traffic."""
 
     service: str
     weight: float
@@ -27,7 +27,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Route:
-    """Which service answers a host's paths, and how.
+    """The services that answer a host's paths, and the limits for its requests.
 
     Parameters
     ----------
@@ -36,23 +36,23 @@
     host : str
         The host name, in lower case.
     prefix : str
-        Begins the paths of the route; begins and ends with a slash.
+        The common start of the route's paths; starts and ends with a slash.
     kind : RouteKind
-        What may be repeated.
+        How requests may be repeated.
     shares : tuple of ServiceShare
-        The services, at least one.
+        The services and their weights, at least one.
     timeout_seconds : float
-        The longest time that a request is kept waiting.
+        The longest time that a request may wait.
     target_seconds : float
-        The time within which an answer, or its first event, is worth the most.
+        The target time to an answer or its first event; later ones are worth less.
     pause_seconds : float
-        The longest pause between two events that is still on time; 0 if not stated.
+        The longest pause between two events that is still on time; 0 if not set.
     max_attempts : int
-        To how many endpoints one request may be sent.
+        The most endpoints to which one request may be sent.
     priority : int
-        The rank; 0 is the most urgent.
+        0 is the most urgent.
     is_public : bool
-        Whether requests need no key.
+        Whether requests need no API key.
     is_resumable : bool
         Whether a broken stream may be resumed by a new run at another engine.
     """
@@ -73,22 +73,22 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class EngineFacts:
-    """What all engines of a service have in common.
+    """The properties that all engines of a service share.
 
     Parameters
     ----------
     n_slots : int
-        Requests that run at once.
+        Requests that an engine runs concurrently.
     n_memory_tokens : int
-        Tokens that fit in memory.
+        Tokens that fit in an engine's memory.
     token_bytes : float
         Bytes of memory for each token, for copies between engines.
     link_bytes_per_second : float
-        What an engine's link carries.
+        The bandwidth of an engine's link.
     can_move, can_back_up : bool
-        Whether a running generation can be moved, and copied as it grows.
+        Whether a running generation can be migrated, and replicated as it grows.
     handle_seconds : float
-        How long a copy waits for its use.
+        How long an engine keeps a copy that is not used.
     n_event_tokens : int
         Tokens in one event of a stream.
     """
@@ -105,7 +105,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Service:
-    """A named set of endpoints that answer alike; `engine` is set for model engines."""
+    """A set of equivalent endpoints; ``engine`` is set if they are model engines."""
 
     name: str
     health_path: str = "/health"
@@ -114,7 +114,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class CallerBounds:
-    """What callers may send, and how long they may take or stay idle."""
+    """Limits on the size of callers' requests and on slow and idle connections."""
 
     max_head_bytes: int = 16_384
     max_body_bytes: int = 4 * 1024 * 1024
@@ -124,7 +124,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class OrganisationKey:
-    """Who holds a key; ``priority`` goes before a route's where it is set."""
+    """The holder of an API key; ``priority``, where set, overrides the route's."""
 
     organisation: str
     priority: int | None = None
@@ -132,18 +132,18 @@
 
 @dataclass(frozen=True, kw_only=True)
 class RelayConfig:
-    """One version of all that the operator states.
+    """One version of the operator's configuration.
 
     Parameters
     ----------
     version : int
-        Rises with each change, in uneven steps.
+        Rises with each change, not always by one.
     routes : tuple of Route
         All routes.
     services : dict
         The services by name.
     keys : dict or None
-        Key to its holder; None where requests need no keys.
+        The holders by API key; None if requests need no keys.
     bounds : CallerBounds
         Limits for callers.
     """
@@ -156,15 +156,15 @@
 
     @cached_property
     def _by_host(self) -> dict[str, list[Route]]:
-        found: dict[str, list[Route]] = {}
+        by_host: dict[str, list[Route]] = {}
         for route in self.routes:
-            found.setdefault(route.host, []).append(route)
-        for routes in found.values():
+            by_host.setdefault(route.host, []).append(route)
+        for routes in by_host.values():
             routes.sort(key=lambda route: len(route.prefix), reverse=True)
-        return found
+        return by_host
 
     def find_route(self, host: str, path: str) -> Route | None:
-        """Return the host's route with the longest prefix that begins the path."""
+        """Return the host's route with the longest prefix of the path, or None."""
         for route in self._by_host.get(host.lower().partition(":")[0], ()):
             if path.startswith(route.prefix):
                 return route
@@ -180,7 +180,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Registration:
-    """What one endpoint says of itself in the platform's table.
+    """An endpoint's own entry in the platform's table.
 
     Parameters
     ----------
@@ -189,17 +189,17 @@
     service : str
         The service that it belongs to.
     address : Address
-        Where it takes requests.
+        Where it accepts requests.
     failure_domain : str
-        Where it runs.
+        The failure domain in which it runs.
     n_slots : int
-        Requests that it works on at once.
+        Requests that it handles concurrently.
     state : EndpointState
         Whether it takes new work.
     cold_seconds : float
-        How much longer it is slow after its start.
+        The remaining time for which it is slow after its start.
     started_at : int
-        Unix milliseconds of its start; another value is another process.
+        Unix milliseconds of its start; differs between processes.
     """
 
     endpoint: str
@@ -214,18 +214,18 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class EngineReport:
-    """What an engine says of its load; some hundred milliseconds old.
+    """An engine's report of its load, some hundred milliseconds old.
 
     Parameters
     ----------
     n_queued, n_running : int
         Requests that wait and that run.
     n_used_tokens, n_memory_tokens : int
-        Memory that can't yield, and all memory.
+        Memory that can't be freed on demand, and all memory.
     is_leaving : bool
         Whether it takes no new work.
     leaves_in_seconds : float or None
-        When it will be gone, where it knows.
+        Time until it stops, if known.
     """
 
     n_queued: int
@@ -238,20 +238,20 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class CallerFacts:
-    """What a request's head says beyond its method and path.
+    """What a caller states in a request's head besides its method and path.
 
     Parameters
     ----------
     attempt_id : str
         The caller's id of this attempt; endpoints echo it.
     budget_seconds : float or None
-        How long the caller will wait.
+        How long the caller waits.
     key : str or None
         The API key.
     last_event_id : str or None
-        Where the caller wants a stream to go on.
+        The event after which the caller resumes a stream.
     n_prompt_tokens, n_max_tokens : int
-        Size of the prompt and bound of the output; 0 if not stated.
+        Size of the prompt and limit of the output; 0 if not stated.
     n_hinted_tokens : int or None
         The caller's estimate of the output.
     parts : tuple of (str, int)
@@ -269,7 +269,7 @@
 
     @property
     def n_expected_tokens(self) -> int:
-        """Return the tokens of output to reckon with."""
+        """Return the expected number of output tokens."""
         if self.n_hinted_tokens is None:
             return self.n_max_tokens
         return min(self.n_hinted_tokens, self.n_max_tokens or self.n_hinted_tokens)
--- a/celerytrail/rowsource.py
+++ b/celerytrail/rowsource.py
@@ -1,4 +1,4 @@
-"""What the relay needs of the platform's table of rows."""
+"""The interface through which the relay reads and writes the platform's tables."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Row:
-    """One row; ``value`` is None where it was removed."""
+    """One row of a table; ``value`` is None if the row was removed."""
 
     key: str
     value: bytes | None
@@ -19,11 +19,11 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Changes:
-    """Rows, and the version of the table as of which they were read.
+    """Rows and the version of the table at which they were read.
 
-    ``age_seconds`` is how old that was when the question was answered; 0 from the store
-    itself. ``waited_seconds`` is how long the question waited there for news.
-    ``source`` is the node that told it, empty for the store.
+    ``age_seconds`` is the age of that version when the request was answered, 0 for an
+    answer of the store itself. ``waited_seconds`` is how long the request waited there
+    for changes. ``source`` is the node that answered, empty for the store.
     """
 
     rows: tuple[Row, ...]
@@ -35,7 +35,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class StoreUnavailable:
-    """The store was not reached or refused: certainly without effect."""
+    """The store was not reached or refused the request, which had no effect."""
 
     reason: str
     status: int | None = None
@@ -43,39 +43,39 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class StoreInDoubt:
-    """A write may or may not have had its effect, now or later."""
+    """A write may have taken effect, may do so later, or may never."""
 
     reason: str
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class HistoryGone:
-    """The changes since that version are no longer known; read the whole table."""
+    """The changes since that version are no longer kept; read the whole table."""
 
 
 class RowSource(abc.ABC):
-    """Reads, follows and writes rows; deadlines are loop time in seconds."""
+    """Reads, follows and writes rows; deadlines are in seconds of the loop's time."""
 
     @abc.abstractmethod
     async def read(
         self, table: str, deadline: float, *, at_least: int = 0
     ) -> Result[Changes, StoreUnavailable]:
-        """Read a whole table as of one moment, at a source that knows a version."""
+        """Read a whole table as of one version, ``at_least`` or newer."""
 
     @abc.abstractmethod
     async def follow(
         self, table: str, after: int, wait_seconds: float, deadline: float
     ) -> Result[Changes, StoreUnavailable | HistoryGone]:
-        """Return what changed after a version, waiting a while for something."""
+        """Return the changes after a version, waiting a limited time for the first."""
 
     @abc.abstractmethod
     async def put(
         self, table: str, key: str, value: bytes, deadline: float
     ) -> Result[None, StoreUnavailable | StoreInDoubt]:
-        """Write one row without a condition."""
+        """Write one row unconditionally."""
 
     @abc.abstractmethod
     async def drop(
         self, table: str, key: str, deadline: float
     ) -> Result[None, StoreUnavailable | StoreInDoubt]:
-        """Remove one row without a condition."""
+        """Remove one row unconditionally."""
--- a/celerytrail/types.py
+++ b/celerytrail/types.py
@@ -1,4 +1,4 @@
-"""Types that more than one part of the package uses."""
+"""Types that several parts of the package share."""
 
 from __future__ import annotations
 
@@ -8,14 +8,14 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Finding:
-    """One thing that is wrong, with its place.
+    """One problem found in an input, with its place.
 
     Parameters
     ----------
     place : str
-        Where it is: an option's name, a path in a document, a header, a file's line.
+        An option's name, a path in a document, a header or a line of a file.
     problem : str
-        What is wrong there and what would be right.
+        What is wrong there and what would be accepted.
     """
 
     place: str
@@ -27,7 +27,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True, order=True)
 class Address:
-    """Where a process listens: an IP number and a port."""
+    """Where a process listens: an IP address and a port."""
 
     host: str
     port: int
@@ -39,12 +39,12 @@
 
     @classmethod
     def parse(cls, text: str) -> Address:
-        """Read ``host:port``.
+        """Parse ``host:port``.
 
         Raises
         ------
         ValueError
-            When the text is not an IP number and a port.
+            If the text is not an IP address and a port.
         """
         host, separator, port = text.rpartition(":")
         if not separator or not port.isdigit() or not 0 < int(port) < 65536:
@@ -61,12 +61,11 @@
     Parameters
     ----------
     reason : str
-        A stable word for the cause, such as ``connect_refused`` or ``shed``.
+        A stable code for the cause, such as ``connect_refused`` or ``shed``.
     detail : str
-        A sentence for a person.
+        An explanation in plain text.
     retry_after : float or None
-        Seconds from now after which to come back; None where asking again the same
-        way can't help.
+        Seconds from now after which to retry; None if the same request can't succeed.
     """
 
     reason: str
@@ -76,16 +75,16 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Unknown:
-    """The request may or may not have run; nothing here can tell yet.
+    """The request may or may not have run; its outcome is not known yet.
 
     Parameters
     ----------
     reason : str
-        A stable word for the cause, such as ``reply_lost``.
+        A stable code for the cause, such as ``reply_lost``.
     detail : str
-        A sentence for a person.
+        An explanation in plain text.
     ask : str or None
-        The path at which to ask for the outcome.
+        The path at which the outcome can be queried.
     """
 
     reason: str
--- a/celerytrail/vmwatch.py
+++ b/celerytrail/vmwatch.py
@@ -1,4 +1,4 @@
-"""Watches the platform's lagging rows of VMs: who may be joined, and who leaves."""
+"""Polls the platform's VM list, which lags, for node addresses and leaving VMs."""
 
 from __future__ import annotations
 
@@ -15,32 +15,33 @@
 from .nodes.nodes import Nodes
 from .platform.vms import Vm, VmList, node_addresses
 
-# Between two readings by one node, in seconds, and what each live node adds to it. One
-# node's reading is told to all, so that all together read at most twice a second: at
-# 2,000 endpoints of 300 bytes that is 3.6 KB/s for each of 330 nodes.
-POLL_SECONDS = 10.0
-NODE_SECONDS = 0.5
+# The least interval between two reads by one node, and the interval for each live
+# node, in seconds. What one node reads is announced to all, so all nodes together read
+# at most twice a second: with 2,000 endpoints of 300 bytes, 3.6 KB/s for each of 330
+# nodes.
+MIN_POLL_SECONDS = 10.0
+POLL_SECONDS_PER_NODE = 0.5
 FIRST_POLL_SECONDS = 1.0
-READ_SECONDS = 3.0
+READ_TIMEOUT_SECONDS = 3.0
 
 
 class VmWatch:
-    """Reads the VM list now and then.
+    """Polls the VM list and passes on addresses and leaving endpoints.
 
     Parameters
     ----------
     vms : VmList
-        The platform's rows.
+        Reads the platform's rows.
     nodes : Nodes
-        Told which addresses other nodes may be at.
+        Receives the addresses at which other nodes may listen.
     leaving : LeavingBoard
-        Told which engines and endpoints are on VMs that leave.
+        Receives the engines and endpoints on VMs that leave.
     configuration : Configuration
-        Says what runs on which VM.
+        Holds which engine or endpoint runs on which VM.
     clock : Clock
-        Dates the news.
+        Its wall time dates the notices.
     rng : random.Random
-        Spreads the nodes' reads.
+        Adds jitter to the poll interval.
     """
 
     def __init__(
@@ -62,31 +63,35 @@
         self._listed_leaving: set[str] = set()
 
     async def run(self) -> None:
-        """Read for ever; while the list can't be read, what is known stays."""
-        wait = FIRST_POLL_SECONDS
+        """Poll forever; while the list can't be read, the last state stays in force."""
+        interval_seconds = FIRST_POLL_SECONDS
         while True:
-            fetched = await self._vms.fetch(self._clock.monotonic() + READ_SECONDS)
+            fetched = await self._vms.fetch(
+                self._clock.monotonic() + READ_TIMEOUT_SECONDS
+            )
             if isinstance(fetched, Err):
                 log_message("vms:unavailable", reason=fetched.err_value.reason)
             else:
-                self.take(fetched.ok_value)
-                wait = max(POLL_SECONDS, NODE_SECONDS * len(self._nodes.live()))
-            await asyncio.sleep(wait * self._rng.uniform(0.5, 1.5))
+                self.on_list(fetched.ok_value)
+                interval_seconds = max(
+                    MIN_POLL_SECONDS, POLL_SECONDS_PER_NODE * len(self._nodes.live())
+                )
+            await asyncio.sleep(interval_seconds * self._rng.uniform(0.5, 1.5))
 
-    def take(self, vms: tuple[Vm, ...]) -> None:
-        """Take one reading of the list."""
+    def on_list(self, vms: tuple[Vm, ...]) -> None:
+        """Apply one reading of the list."""
         self._nodes.set_listed(node_addresses(vms))
         leaving_vms = {vm.vm for vm in vms if vm.state == "leaving"}
         now = self._clock.wall()
-        listed = {name for name, vm in self._placed() if vm in leaving_vms}
+        listed = {name for name, vm in self._names_with_vms() if vm in leaving_vms}
         for name in listed - self._listed_leaving:
             self._leaving.note(name, "vm_list", now)
         for name in self._listed_leaving - listed:
             self._leaving.withdraw(name, "vm_list")
         self._listed_leaving = listed
 
-    def _placed(self) -> Iterator[tuple[str, str]]:
-        """Yield each engine and endpoint with its VM."""
+    def _names_with_vms(self) -> Iterator[tuple[str, str]]:
+        """Yield the name of each engine and endpoint with its VM."""
         document = self._configuration.current.document
         for engine in document.engines:
             yield engine.name, engine.vm
