--- a/tests/fakes.py
+++ b/tests/fakes.py
@@ -1,4 +1,4 @@
-"""In-memory platform peers whose failures a test chooses exactly."""
+"""In-memory fakes of the platform's services with failures that tests control."""
 
 from __future__ import annotations
 
@@ -16,11 +16,11 @@
 class FakeTable(Table):
     """A table in memory.
 
-    ``is_down`` refuses everything without effect. ``lose_replies`` counts writes whose
-    effect happens while the caller is told nothing. ``drop_writes`` counts writes that
-    have no effect while the caller is told nothing. ``delayed`` counts writes that
-    wait for `apply_delayed` while the caller is told nothing, as with a platform that
-    was frozen. ``gate``, where set, is waited for before anything.
+    ``is_down`` refuses every request without effect. The three counters are numbers of
+    coming writes whose reply is lost: those of ``lose_replies`` take effect, those of
+    ``drop_writes`` don't, and those of ``delayed`` take effect at `apply_delayed`, as
+    with a platform that was frozen. ``gate``, where set, is awaited before each write
+    and each read by key.
     """
 
     def __init__(self):
@@ -55,7 +55,7 @@
         return result
 
     def apply_delayed(self):
-        """Let the writes that stood still take effect, as far as they still can."""
+        """Apply the delayed writes whose conditions still hold."""
         for transaction in self._delayed_writes:
             self._apply(transaction)
         self._delayed_writes = []
@@ -86,7 +86,7 @@
 
 
 class FakeObjectStore(ObjectStore):
-    """Objects in memory; ``is_down`` refuses everything."""
+    """An object store in memory; ``is_down`` refuses every request."""
 
     def __init__(self):
         self.objects = {}
@@ -107,7 +107,7 @@
 
 
 class FakeVmList(VmList):
-    """A list of VMs that the test sets; ``is_down`` refuses."""
+    """A VM list that the test sets; ``is_down`` refuses every request."""
 
     def __init__(self):
         self.vms = ()
--- a/tests/tablemodel.py
+++ b/tests/tablemodel.py
@@ -1,4 +1,4 @@
-"""A model of the transactional table: rows with versions in memory."""
+"""An in-memory model of the platform's transactional table."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class Rows:
-    """The table: rows with versions, changed by whole transactions."""
+    """Rows with versions, changed by atomic transactions."""
 
     def __init__(self) -> None:
         self._rows: dict[str, dict[str, object]] = {}
@@ -19,14 +19,14 @@
     def transact(
         self, checks: Sequence[Check], puts: Sequence[Put], deletes: Sequence[str]
     ) -> tuple[dict[str, int], list[dict[str, object]]]:
-        """Apply all or nothing; returns the versions, or the rows in the way."""
-        in_the_way = [
+        """Apply all changes or none; return new versions or the conflicting rows."""
+        conflicts = [
             self._get(check.key)
             for check in checks
             if self._get(check.key)["version"] != check.version
         ]
-        if in_the_way:
-            return {}, in_the_way
+        if conflicts:
+            return {}, conflicts
         self._revision += 1
         for key in deletes:
             self._rows.pop(key, None)
@@ -41,7 +41,7 @@
         return [self._rows[key] for key in keys if key in self._rows]
 
     def scan(self, prefix: str, after: str, limit: int) -> list[dict[str, object]]:
-        """Return rows in the order of their keys, from beyond ``after``."""
+        """Return rows with a key prefix in key order, from after the key ``after``."""
         keys = sorted(k for k in self._rows if k.startswith(prefix) and k > after)
         return self.read(keys[:limit])
 
--- a/tests/test_leaving.py
+++ b/tests/test_leaving.py
@@ -1,4 +1,4 @@
-"""Leaving endpoints get no new work, from whichever source it is known."""
+"""Endpoints that any source reports as leaving get no new work."""
 
 from __future__ import annotations
 
@@ -22,10 +22,10 @@
         assert board.note("e1", source, 10.0)
         assert not board.note("e1", "report", 12.0)
         assert board.is_leaving("e1", 10.0)
-        assert board.first_fact("e1", 13.0).source == source
+        assert board.earliest_notice("e1", 13.0).source == source
         assert not board.is_leaving("e2", 10.0)
 
-    def test_a_source_withdraws_only_its_own_word(self):
+    def test_source_withdraws_only_its_own_notice(self):
         board = LeavingBoard()
         board.note("e1", "document", 1.0)
         board.note("e1", "vm_list", 2.0)
@@ -34,34 +34,34 @@
         board.withdraw("e1", "vm_list")
         assert not board.is_leaving("e1", 3.0)
 
-    def test_clock_that_jumps_back(self):
-        """The wall clock jumps back after an endpoint became known to leave. It must
-        not get new work until the clock has caught up.
+    def test_clock_jump_back_does_not_end_leaving(self):
+        """The wall clock jumps back after an endpoint became known to leave. The
+        endpoint must not get new work until the clock has caught up.
         """
         board = LeavingBoard()
         board.note("e1", "vm_list", 5_000.0)
         assert board.is_leaving("e1", 10.0)
 
-    def test_hearsay_runs_out_and_what_is_gone_is_forgotten(self):
+    def test_gossip_expires_and_unlisted_names_are_forgotten(self):
         board = LeavingBoard()
-        board.note("e1", "gossip", 1.0, until_at=30.0)
+        board.note("e1", "gossip", 1.0, expires_at=30.0)
         board.note("gone", "vm_list", 1.0)
         assert board.is_leaving("e1", 29.0)
         assert not board.is_leaving("e1", 31.0)
         board.forget_stale({"e1"}, 31.0)
         assert board.facts(2.0) == []
 
-    def test_news_are_told_at_once_and_now_and_then(self):
-        """What other nodes hear runs out after two minutes. While a source goes on
-        saying that an endpoint leaves, they must hear it again before that.
+    def test_notices_are_announced_at_once_and_repeatedly(self):
+        """Notices from gossip expire after two minutes at other nodes. While a source
+        repeats its notice, it must be announced again before that.
         """
-        board, news = LeavingBoard(), []
-        board.subscribe(news.append)
+        board, announced = LeavingBoard(), []
+        board.subscribe(announced.append)
         for at in range(1, 101):
             board.note("e1", "gossip", float(at))
             board.note("e1", "report", float(at))
-        told = [(fact.source, fact.at) for fact in news]
-        assert told == [("gossip", 1.0)] + [("report", 1.0)] * 3
+        notices = [(notice.source, notice.at) for notice in announced]
+        assert notices == [("gossip", 1.0)] + [("report", 1.0)] * 3
 
 
 def view(name, **kwargs):
@@ -83,7 +83,7 @@
 
 
 class TestChoose:
-    def test_least_loaded_by_report_and_own_calls(self):
+    def test_least_loaded_by_report_and_outstanding_calls(self):
         busy = EndpointReport(endpoint="e1", incarnation="i", n_running=8, capacity=10)
         idle = EndpointReport(endpoint="e2", incarnation="i", n_running=1, capacity=10)
         views = [view("e1", report=busy), view("e2", report=idle)]
@@ -91,12 +91,12 @@
         views[1].n_outstanding = 9
         assert pick(views) == "e1"
 
-    def test_what_failed_lately_comes_last(self):
+    def test_suspect_endpoint_comes_last(self):
         views = [view("e1", suspect_until=5.0), view("e2", n_outstanding=50)]
         assert pick(views) == "e2"
         assert pick(views[:1]) == "e1"
 
-    def test_leaving_and_excluded_get_nothing(self):
+    def test_leaving_and_excluded_are_not_chosen(self):
         views = [view("e1"), view("e2")]
         assert pick(views, is_leaving=lambda name: name == "e1") == "e2"
         assert pick(views, excluded={"e1", "e2"}) is None
@@ -104,10 +104,10 @@
 
 @pytest.mark.looptime
 class TestNoNewWork:
-    async def test_own_report(self):
-        """An endpoint says in its load report that it is leaving, while list and
-        document are silent. From that moment no call goes to it; when the only other
-        one leaves too, calls are refused as not run.
+    async def test_leaving_by_own_report(self):
+        """An endpoint's load report alone says that it is leaving. From then on it
+        gets no calls; when the only other endpoint leaves too, calls are refused as
+        not run.
         """
         world = World()
         node = world.a
@@ -117,15 +117,15 @@
         for n in range(20):
             chosen = node.directory.choose("bookings", ())
             assert chosen.spec.name == "e2", n
-        gone = replace(leaving, endpoint="e2")
-        node.directory.take_report(views["e2"], msgspec.json.encode(gone))
+        other_leaving = replace(leaving, endpoint="e2")
+        node.directory.take_report(views["e2"], msgspec.json.encode(other_leaving))
         result = await node.file()
         assert (word(result), result.err_value.reason) == ("not_run", "no_endpoint")
-        back = replace(leaving, leaving_at=None)
-        node.directory.take_report(views["e1"], msgspec.json.encode(back))
+        returned = replace(leaving, leaving_at=None)
+        node.directory.take_report(views["e1"], msgspec.json.encode(returned))
         assert word(await node.file()) == "answered"
 
-    async def test_document_role(self):
+    async def test_leaving_by_document_role(self):
         world = World()
         endpoints = tuple(replace(e, role="drain") for e in BOOKINGS.endpoints)
         drained = Document(services=(replace(BOOKINGS, endpoints=endpoints),))
@@ -135,15 +135,15 @@
         world.a.configuration.offer(VersionedDocument(version=3, document=served))
         assert word(await world.a.file()) == "answered"
 
-    async def test_bad_report_is_dropped_alone(self):
-        """An endpoint's report is garbage, or another endpoint's. What was known of
-        it stays, and calls go on.
+    async def test_bad_report_is_ignored(self):
+        """An endpoint's report can't be decoded or names another endpoint. The former
+        state stays in force, and calls continue.
         """
         world = World()
         directory = world.a.directory
-        one = directory.views("bookings")[0]
+        target = directory.views("bookings")[0]
         other = EndpointReport(endpoint="zz", incarnation="i", leaving_at=1.0)
         for body in (b"{", b'{"endpoint": 5}', msgspec.json.encode(other)):
-            directory.take_report(one, body)
-        assert one.report is None
+            directory.take_report(target, body)
+        assert target.report is None
         assert word(await world.a.file()) == "answered"
