--- a/celerytrail/services/calls.py
+++ b/celerytrail/services/calls.py
@@ -1,4 +1,4 @@
-"""Calls to plain services: at most once for a key, and honest about the outcome."""
+"""Runs calls to plain services, at most once for each idempotency key."""
 
 from __future__ import annotations
 
@@ -25,46 +25,46 @@
     Outcome,
     Proceed,
     Replay,
-    answered,
+    as_answered,
+    as_not_run,
+    as_unknown,
     decide,
+    decide_for_other_attempt,
     hash_body,
-    in_doubt,
-    released,
     row_key,
-    standing_decision,
 )
-from .claimstore import ClaimStore, NotTaken
+from .claimstore import ClaimStore, ClaimUnavailable
 from .outcomes import Answered, CallInProgress, CallResult, ServiceCall
 from .recorder import ClaimRecorder
 from .sender import CallSender
 
-CLAIM_SECONDS = 2.0
-KEEP_SECONDS = 7 * 24 * 3600.0
+CLAIM_TIMEOUT_SECONDS = 2.0
+CLAIM_RETENTION_SECONDS = 7 * 24 * 3600.0
 MAX_IN_PROGRESS = 1_000
 MAX_PROGRESS_RETRY_SECONDS = 5.0
 
-StatusState = Literal["answered", "in_progress", "not_run", "unknown"]
+CallState = Literal["answered", "in_progress", "not_run", "unknown"]
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class CallStatus:
-    """What is known of a keyed call.
+    """The known state of a call that was made with an idempotency key.
 
     Parameters
     ----------
     state : {"answered", "in_progress", "not_run", "unknown"}
-        ``not_run`` may be tried again with the same key.
+        A call that is ``not_run`` may be retried with the same key.
     operation : str
-        What was called.
+        The operation that was called.
     outcome : Outcome or None
-        The answer, where it is known.
+        The endpoint's answer, where it is known.
     reason : str
-        Why it was not run or is unknown.
+        Why the call was not run or its outcome is unknown.
     retry_after : float or None
-        Seconds after which asking again may tell more.
+        Seconds after which another status request may return a newer state.
     """
 
-    state: StatusState
+    state: CallState
     operation: str
     outcome: Outcome | None = None
     reason: str = ""
@@ -72,31 +72,31 @@
 
 
 class ServiceCalls:
-    """Makes calls.
+    """Runs calls and reports the outcome of earlier ones.
 
-    Each keyed call is run by one task of its own from claim to record. That task
-    alone decides whether to send and, where it decides not to, has returned before
-    anybody is told "not run"; so nothing can be sent after that was said, however
-    long the process is paused, and whether or not the caller is still connected.
+    Each keyed call runs in a task of its own, from its claim to the record of its
+    outcome. Only that task decides whether to send, and "not run" is reported only
+    after it has returned. No call is therefore sent after it was reported as not run,
+    however long the process is paused and whether or not the caller is connected.
 
     Parameters
     ----------
     node_id : str
-        Names this process in claims.
+        Identifies this process in claims.
     claims : ClaimStore
-        Takes claims.
+        Acquires claims.
     recorder : ClaimRecorder
-        Records how they ended.
+        Records the outcome of claims.
     sender : CallSender
-        Sends calls.
+        Sends calls to endpoints.
     clock : Clock
-        Its monotonic time must be the loop's.
+        Its monotonic time must be the event loop's.
     rng : random.Random
-        Draws attempt ids; they must be unlike those of all other processes.
+        Generates attempt ids, which must be unique across processes.
     metrics : Metrics or None
-        Where outcomes are counted.
+        Counts claims, refusals and unknown outcomes.
     max_in_progress : int
-        Calls made at one time; more are refused at once.
+        Limit of concurrent calls; further calls are shed.
     """
 
     def __init__(
@@ -123,11 +123,11 @@
 
     @property
     def n_in_progress(self) -> int:
-        """Return how many calls are being made."""
+        """Return the number of calls in progress."""
         return len(self._tasks)
 
     async def call(self, call: ServiceCall) -> CallResult:
-        """Make a call; with a key, it goes on even if whoever awaits it goes away."""
+        """Run a call, which continues if the awaiting task is cancelled."""
         if len(self._tasks) >= self._max_in_progress:
             refusal = NotRun(reason="shed", retry_after=1.0)
             return self._count(Err(refusal))
@@ -139,11 +139,12 @@
     async def status(
         self, organisation: str, service: str, key: str, deadline: float
     ) -> Result[CallStatus | None, Unavailable]:
-        """Tell what became of a keyed call; None where there is no claim on record.
+        """Return the state of a keyed call, or None where no claim is on record.
 
-        What this process knows goes before the table, which may not have heard yet.
+        A result that this process has not yet written to the table takes precedence
+        over the table's row.
         """
-        own = self._recorder.known(row_key(organisation, key))
+        own = self._recorder.pending_claim(row_key(organisation, key))
         if own is not None and own.service == service and own.state != "not_run":
             return Ok(self._status_of(own))
         read = await self._claims.read(row_key(organisation, key), deadline)
@@ -151,15 +152,15 @@
             return Err(read.err_value)
         if read.ok_value is None or read.ok_value[0].service != service:
             return Ok(None)
-        standing = read.ok_value[0]
-        # That our attempt was not run says nothing of a later one with the same key,
-        # so it is told only while no other attempt stands in the table.
-        if own is not None and own.attempt == standing.attempt:
-            standing = own
-        return Ok(self._status_of(standing))
+        current = read.ok_value[0]
+        # A later attempt with the same key may have run although this node's attempt
+        # did not, so "not run" is reported only while the row is this attempt's.
+        if own is not None and own.attempt == current.attempt:
+            current = own
+        return Ok(self._status_of(current))
 
     async def drain(self, deadline: float) -> None:
-        """Let every call end, then record what is left until ``deadline``."""
+        """Wait for all calls, then write pending records until ``deadline``."""
         while self._tasks:
             await asyncio.wait(list(self._tasks))
         await self._recorder.drain(deadline)
@@ -170,9 +171,9 @@
                 return self._count(await self._run_plain(call))
             return self._count(await self._run_keyed(call, call.key))
         except Exception as exc:
-            # What a fault of ours has left behind nobody can tell, so say just that.
+            # After a bug in this code the call may or may not have been sent.
             log_message("services:call_failed", problem=repr(exc))
-            return Err(Unknown(reason="internal", ask=_ask(call)))
+            return Err(Unknown(reason="internal", ask=_status_path(call)))
 
     async def _run_plain(self, call: ServiceCall) -> CallResult:
         attempt = self._new_attempt()
@@ -182,71 +183,82 @@
     async def _run_keyed(self, call: ServiceCall, key: str) -> CallResult:
         claim = self._new_claim(call)
         row = row_key(call.organisation, key)
-        own = self._recorder.known(row)
+        own = self._recorder.pending_claim(row)
         if own is not None and own.state == "answered":
             now = self._clock.wall()
-            return self._refusal(call, decide(claim, own, 0, now))
-        # What can be refused without a claim costs the table nothing.
+            return self._result_without_send(call, decide(claim, own, 0, now))
+        # Refusing before the claim saves a write to the table.
         refusal = self._sender.refusal(call)
         if refusal is not None:
             return Err(refusal)
-        until = min(call.deadline, self._clock.monotonic() + CLAIM_SECONDS)
-        taken = await self._claims.take(row, claim, until)
-        if isinstance(taken, Err):
-            return self._not_taken(row, claim, taken.err_value)
-        decision = taken.ok_value
+        claim_deadline = min(
+            call.deadline, self._clock.monotonic() + CLAIM_TIMEOUT_SECONDS
+        )
+        acquired = await self._claims.acquire(row, claim, claim_deadline)
+        if isinstance(acquired, Err):
+            return self._refuse_unclaimed(row, claim, acquired.err_value)
+        decision = acquired.ok_value
         self._count_claim(type(decision).__name__)
         if not isinstance(decision, Held):
-            return self._refusal(call, decision)
-        # From here on this task alone may send under the claim, and nobody can take
-        # the claim from it.
+            return self._result_without_send(call, decision)
+        # From here on only this task may send under the claim, which no other attempt
+        # can replace.
         sent = await self._sender.send(call, claim.attempt, is_idempotent=False)
         match sent:
             case Ok(outcome):
-                final = answered(claim, outcome)
+                final = as_answered(claim, outcome)
                 result: CallResult = Ok(Answered(outcome=outcome))
             case Err(NotRun() as not_run):
-                final = released(claim, not_run.reason)
+                final = as_not_run(claim, not_run.reason)
                 result = Err(not_run)
             case Err(Unknown(reason=reason, detail=detail)):
-                final = in_doubt(claim, reason)
-                result = Err(Unknown(reason=reason, detail=detail, ask=_ask(call)))
+                final = as_unknown(claim, reason)
+                result = Err(
+                    Unknown(reason=reason, detail=detail, ask=_status_path(call))
+                )
         await self._recorder.record(row, final, decision.version)
         return result
 
-    def _not_taken(self, row: str, claim: Claim, why: NotTaken) -> CallResult:
-        """Refuse; the claim, should it yet appear, is released in the background."""
-        self._count_claim(why.reason)
-        if why.maybe_base_version is not None:
-            final = released(claim, why.reason)
-            self._recorder.add(row, final, why.maybe_base_version)
-        # The refusal is of this request alone; were it read as a word on the key, a
-        # caller might send a call that has run once more, under another key.
+    def _refuse_unclaimed(
+        self, row: str, claim: Claim, failure: ClaimUnavailable
+    ) -> CallResult:
+        """Refuse the request and, if its claim may still appear, release that later."""
+        self._count_claim(failure.reason)
+        if failure.in_doubt_base_version is not None:
+            final = as_not_run(claim, failure.reason)
+            self._recorder.enqueue(row, final, failure.in_doubt_base_version)
+        # The refusal concerns this request only. A caller that took it as the state of
+        # the key might repeat, under another key, a call that has already run.
         detail = (
             "the key could not be claimed, so this request was not sent; an earlier "
             "one with the same key may have run, so come back with the same key"
         )
         return Err(
-            NotRun(reason=why.reason, detail=detail, retry_after=why.retry_after)
+            NotRun(
+                reason=failure.reason, detail=detail, retry_after=failure.retry_after
+            )
         )
 
-    def _refusal(self, call: ServiceCall, decision: Decision) -> CallResult:
+    def _result_without_send(self, call: ServiceCall, decision: Decision) -> CallResult:
+        """Return the result of a decision that does not allow the call to be sent."""
         match decision:
             case Replay(outcome=outcome):
                 return Ok(Answered(outcome=outcome, is_replayed=True))
             case KeyReused():
                 return Err(decision)
-            case InProgress(until_at=until_at):
-                seconds = self._progress_seconds(until_at)
-                return Err(CallInProgress(ask=_ask(call) or "", retry_after=seconds))
+            case InProgress(outcome_due_at=outcome_due_at):
+                seconds = self._progress_retry_seconds(outcome_due_at)
+                return Err(
+                    CallInProgress(ask=_status_path(call) or "", retry_after=seconds)
+                )
             case NeverKnown(reason=reason):
-                return Err(Unknown(reason=reason, ask=_ask(call)))
+                return Err(Unknown(reason=reason, ask=_status_path(call)))
             case _:
-                raise AssertionError(f"{decision} is no refusal")
+                raise AssertionError(f"{decision} requires the call to be sent")
 
     def _status_of(self, claim: Claim) -> CallStatus:
         operation = claim.operation
-        match standing_decision(claim, 0, self._clock.wall()):
+        match decide_for_other_attempt(claim, 0, self._clock.wall()):
             case Proceed():
                 return CallStatus(
                     state="not_run", operation=operation, reason=claim.reason
@@ -255,11 +267,11 @@
                 return CallStatus(
                     state="answered", operation=operation, outcome=outcome
                 )
-            case InProgress(until_at=until_at):
+            case InProgress(outcome_due_at=outcome_due_at):
                 return CallStatus(
                     state="in_progress",
                     operation=operation,
-                    retry_after=self._progress_seconds(until_at),
+                    retry_after=self._progress_retry_seconds(outcome_due_at),
                 )
             case NeverKnown(reason=reason):
                 return CallStatus(
@@ -269,9 +281,9 @@
                     retry_after=MAX_PROGRESS_RETRY_SECONDS,
                 )
 
-    def _progress_seconds(self, until_at: float) -> float:
-        left = max(until_at - self._clock.wall(), 0.1)
-        return min(left, MAX_PROGRESS_RETRY_SECONDS)
+    def _progress_retry_seconds(self, outcome_due_at: float) -> float:
+        remaining_seconds = max(outcome_due_at - self._clock.wall(), 0.1)
+        return min(remaining_seconds, MAX_PROGRESS_RETRY_SECONDS)
 
     def _new_claim(self, call: ServiceCall) -> Claim:
         now = self._clock.wall()
@@ -284,7 +296,7 @@
             node=self._node_id,
             claimed_at=now,
             deadline_at=call.deadline_at,
-            expires_at=now + KEEP_SECONDS,
+            expires_at=now + CLAIM_RETENTION_SECONDS,
         )
 
     def _new_attempt(self) -> str:
@@ -304,7 +316,7 @@
             self._metrics.count("claims", outcome=outcome)
 
 
-def _ask(call: ServiceCall) -> str | None:
+def _status_path(call: ServiceCall) -> str | None:
     if call.key is None:
         return None
     return f"/v1/services/{quote(call.service)}/calls/{quote(call.key, safe='')}"
--- a/celerytrail/services/claims.py
+++ b/celerytrail/services/claims.py
@@ -1,9 +1,9 @@
-"""Claims on idempotency keys: what a claim row says and what follows from it; pure.
+"""Claims on idempotency keys: their rows and the decisions based on them, without I/O.
 
 A claim is one row in the platform's table. It is written before the call is sent and
-belongs to one attempt for ever: no timeout takes it away, so an attempt that was
-paused between its claim and its send may still send, and nobody else ever does. Only
-the attempt itself releases the claim, after it has decided not to send.
+belongs to one attempt permanently. It has no timeout, so an attempt that was paused
+between its claim and its send may still send, and no other attempt may. Only the
+attempt itself releases the claim, after it has decided not to send.
 """
 
 from __future__ import annotations
@@ -26,18 +26,18 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Outcome:
-    """The endpoint's answer.
+    """The endpoint's answer to a call.
 
     Parameters
     ----------
     status : int
-        Its HTTP status.
+        The HTTP status.
     body : bytes
-        Its body; empty where it was over `MAX_OUTCOME_BYTES` and so not kept.
+        The body; empty where it exceeded `MAX_OUTCOME_BYTES` and was not stored.
     content_type : str
-        The body's type.
+        The body's content type.
     is_whole : bool
-        Whether the body was kept.
+        Whether the body was stored.
     """
 
     status: int
@@ -45,8 +45,8 @@
     content_type: str = "application/json"
     is_whole: bool = True
 
-    def bounded(self) -> Outcome:
-        """Return what of it is kept in the table."""
+    def without_large_body(self) -> Outcome:
+        """Return a copy for the table, without a body that is over the limit."""
         if len(self.body) <= MAX_OUTCOME_BYTES:
             return self
         return replace(self, body=b"", is_whole=False)
@@ -59,24 +59,25 @@
     Parameters
     ----------
     organisation, service, operation : str
-        Whose call it is and of what.
+        The calling organisation, and the service and operation that it calls.
     body_hash : str
-        Hash of operation and body, so that the key can't be used for another call.
+        Hash of operation and body, which detects a key reused for another call.
     attempt : str
-        The attempt that holds the claim; unique.
+        Unique id of the attempt that holds the claim.
     node : str
         The node that runs the attempt.
     state : {"claimed", "answered", "not_run", "unknown"}
-        ``claimed``: may be running; ``unknown``: was sent, the answer was lost.
+        ``claimed``: the call may be running; ``unknown``: it was sent and its answer
+        was lost.
     outcome : Outcome or None
         The endpoint's answer, where it is known.
     claimed_at, deadline_at, expires_at : float
-        Wall times in seconds since the epoch: when it was claimed, after which it is
-        not sent any more, and after which a finished claim may be deleted.
+        Wall times in seconds since the epoch: of the claim, after which the call is no
+        longer sent, and after which a finished claim may be deleted.
     reason : str
-        Why it was not run or is unknown.
+        Why the call was not run or its outcome is unknown.
     settled_by : str
-        The operator who settled it by hand, if one did.
+        The operator who settled the claim manually, if any.
     """
 
     organisation: str
@@ -96,21 +97,21 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Proceed:
-    """The key is free: claim it with a check on this version."""
+    """The key is free and may be claimed by replacing this version."""
 
     version: int
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Held:
-    """The claim is this attempt's own, at this version."""
+    """The attempt itself holds the claim, at this version."""
 
     version: int
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Replay:
-    """The call was answered before; this is the answer."""
+    """The call was answered before, with this outcome."""
 
     outcome: Outcome
 
@@ -121,94 +122,98 @@
 
     Parameters
     ----------
-    until_at : float
-        Wall time after which its outcome can't be hoped for any more.
+    outcome_due_at : float
+        Wall time by which the outcome is recorded, if it ever is.
     """
 
-    until_at: float
+    outcome_due_at: float
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class NeverKnown:
-    """Another attempt held the claim and its outcome is not recorded."""
+    """Another attempt held the claim and its outcome is not known."""
 
     reason: str
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class KeyReused:
-    """The key was used before for another call."""
+    """The key was used before for another call, of this operation."""
 
     operation: str
 
 
 Decision = Proceed | Held | Replay | InProgress | NeverKnown | KeyReused
 
-# An outcome may be recorded a little after the deadline of the call itself.
+# The outcome may be recorded after the deadline of the call itself.
 RECORD_MARGIN_SECONDS = 5.0
 
 
-def decide(asked: Claim, standing: Claim | None, version: int, now: float) -> Decision:
-    """Tell what an attempt may do, given the row that stands.
+def decide(
+    requested: Claim, current: Claim | None, version: int, now: float
+) -> Decision:
+    """Decide what an attempt may do, given the current row.
 
     Parameters
     ----------
-    asked : Claim
+    requested : Claim
         The claim that the attempt would write.
-    standing : Claim or None
-        The row's value; None where there is no row.
+    current : Claim or None
+        The claim in the current row; None where there is no row.
     version : int
         The row's version.
     now : float
         Wall time in seconds since the epoch.
     """
-    if standing is None:
+    if current is None:
         return Proceed(version=0)
-    if standing.attempt == asked.attempt and standing.state == "claimed":
+    if current.attempt == requested.attempt and current.state == "claimed":
         return Held(version=version)
-    if standing.body_hash != asked.body_hash or standing.service != asked.service:
-        return KeyReused(operation=f"{standing.service}/{standing.operation}")
-    return standing_decision(standing, version, now)
+    if current.body_hash != requested.body_hash or current.service != requested.service:
+        return KeyReused(operation=f"{current.service}/{current.operation}")
+    return decide_for_other_attempt(current, version, now)
 
 
-def standing_decision(
-    standing: Claim, version: int, now: float
+def decide_for_other_attempt(
+    current: Claim, version: int, now: float
 ) -> Proceed | Replay | InProgress | NeverKnown:
-    """Tell what a row says to anyone but the attempt that holds it."""
-    if standing.state == "not_run":
+    """Decide what an attempt that does not hold the claim may do."""
+    if current.state == "not_run":
         return Proceed(version=version)
-    if standing.state == "answered" and standing.outcome is not None:
-        return Replay(outcome=standing.outcome)
-    until_at = standing.deadline_at + RECORD_MARGIN_SECONDS
-    if standing.state == "claimed" and now < until_at:
-        return InProgress(until_at=until_at)
-    # No second run, however long it takes: the first may have had its effect.
-    return NeverKnown(reason=standing.reason or "outcome_not_recorded")
+    if current.state == "answered" and current.outcome is not None:
+        return Replay(outcome=current.outcome)
+    outcome_due_at = current.deadline_at + RECORD_MARGIN_SECONDS
+    if current.state == "claimed" and now < outcome_due_at:
+        return InProgress(outcome_due_at=outcome_due_at)
+    # The call is never sent again, as the first attempt may have taken effect.
+    return NeverKnown(reason=current.reason or "outcome_not_recorded")
 
 
-def answered(claim: Claim, outcome: Outcome) -> Claim:
-    """Return the row for a call that was answered."""
-    return replace(claim, state="answered", outcome=outcome.bounded(), reason="")
+def as_answered(claim: Claim, outcome: Outcome) -> Claim:
+    """Return the claim of a call that was answered."""
+    return replace(
+        claim, state="answered", outcome=outcome.without_large_body(), reason=""
+    )
 
 
-def released(claim: Claim, reason: str) -> Claim:
-    """Return the row for a call that was not run and may be tried again."""
+def as_not_run(claim: Claim, reason: str) -> Claim:
+    """Return the claim of a call that was not run and may be retried."""
     return replace(claim, state="not_run", outcome=None, reason=reason)
 
 
-def in_doubt(claim: Claim, reason: str) -> Claim:
-    """Return the row for a call that was sent and whose answer was lost."""
+def as_unknown(claim: Claim, reason: str) -> Claim:
+    """Return the claim of a call that was sent and whose answer was lost."""
     return replace(claim, state="unknown", outcome=None, reason=reason)
 
 
 def row_key(organisation: str, key: str) -> str:
-    """Return the key of a claim's row; the caller's own key is only in its hash."""
+    """Return the key of a claim's row, which holds only a hash of the caller's key."""
     digest = hashlib.sha256(key.encode()).hexdigest()[:40]
     return f"{CLAIM_PREFIX}{organisation}/{digest}"
 
 
 def hash_body(operation: str, body: bytes) -> str:
-    """Return a hash that is the same for JSON that differs only in its layout."""
+    """Return a hash of a call that ignores the layout of a JSON body."""
     try:
         value = msgspec.json.decode(body)
     except msgspec.DecodeError:
@@ -219,12 +224,12 @@
 
 
 def encode(claim: Claim) -> object:
-    """Return a claim as the value of a row."""
+    """Return the row value of a claim."""
     return msgspec.to_builtins(claim)
 
 
 def decode(value: object, place: str) -> Result[Claim, Finding]:
-    """Read the value of a claim's row."""
+    """Decode a claim from a row value."""
     try:
         return Ok(msgspec.convert(value, Claim))
     except msgspec.ValidationError as exc:
--- a/celerytrail/services/claimstore.py
+++ b/celerytrail/services/claimstore.py
@@ -1,4 +1,4 @@
-"""Claims in the platform's table: taking them and recording how they ended."""
+"""Acquires claims in the platform's table and records their outcome."""
 
 from __future__ import annotations
 
@@ -23,41 +23,41 @@
 )
 from .claims import Claim, Decision, Held, Proceed, decide, decode, encode
 
-PAUSE_FIRST_SECONDS = 0.02
-PAUSE_MOST_SECONDS = 0.5
+BACKOFF_INITIAL_SECONDS = 0.02
+BACKOFF_MAX_SECONDS = 0.5
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
-class NotTaken:
-    """The claim can't be had now.
+class ClaimUnavailable:
+    """The claim could not be acquired.
 
     Parameters
     ----------
     reason : str
-        A stable word for the cause.
+        Stable identifier of the cause.
     retry_after : float or None
-        Seconds after which to come back.
-    maybe_base_version : int or None
-        Where the claim may yet appear in the table, the version that it was to
+        Seconds after which to retry.
+    in_doubt_base_version : int or None
+        Where a write of the claim may still take effect, the version that it was to
         replace; None where it certainly will not.
     """
 
     reason: str
     retry_after: float | None = None
-    maybe_base_version: int | None = None
+    in_doubt_base_version: int | None = None
 
 
 class ClaimStore:
-    """Claims in a table.
+    """Reads and writes claims in the platform's table.
 
     Parameters
     ----------
     table : Table
-        Where the rows are.
+        Holds the rows of the claims.
     clock : Clock
-        Its monotonic time must be the loop's.
+        Its monotonic time must be the event loop's.
     rng : random.Random
-        Draws the pauses between tries.
+        Adds jitter to the backoff between tries.
     """
 
     def __init__(self, *, table: Table, clock: Clock, rng: random.Random) -> None:
@@ -65,14 +65,14 @@
         self._clock = clock
         self._rng = rng
 
-    async def take(
+    async def acquire(
         self, key: str, claim: Claim, deadline: float
-    ) -> Result[Decision, NotTaken]:
-        """Write a claim, where the key is free.
+    ) -> Result[Decision, ClaimUnavailable]:
+        """Write a claim if its key is free.
 
-        A claim whose reply was lost is settled by writing it again: that either
-        meets the row with our own attempt, or takes the key now, after which the
-        first write can't take effect late. Only ``Held`` allows the attempt to send.
+        A write whose reply was lost is repeated. Either the repeated write conflicts
+        with the row of this same attempt, or it takes effect itself, after which the
+        first write can no longer do so. Only ``Held`` allows the attempt to send.
 
         Parameters
         ----------
@@ -81,50 +81,52 @@
         claim : Claim
             The claim to write.
         deadline : float
-            Monotonic time until which to try.
+            Monotonic time in seconds until which to try.
         """
         version = 0
-        maybe_base_version = None
+        in_doubt_base_version = None
         n_failures = 0
         while True:
             match await self._put(key, claim, version, deadline):
                 case Ok(committed):
                     return Ok(Held(version=committed.versions[key]))
                 case Err(Conflict(rows=rows)):
-                    # The row has moved on from the version that a write in doubt was
-                    # to replace, so that write has had its effect or never will.
-                    maybe_base_version = None
+                    # The row no longer has the version that a write in doubt was to
+                    # replace, so that write has taken effect or never will.
+                    in_doubt_base_version = None
                     decision = self._decide(claim, rows)
                     if not isinstance(decision, Ok):
                         return Err(decision.err_value)
                     if not isinstance(decision.ok_value, Proceed):
                         return Ok(decision.ok_value)
                     version = decision.ok_value.version
-                case Err(Unavailable() as failure) if maybe_base_version is None:
+                case Err(Unavailable() as failure) if in_doubt_base_version is None:
                     return Err(
-                        NotTaken(reason="store_down", retry_after=failure.retry_after)
+                        ClaimUnavailable(
+                            reason="store_down", retry_after=failure.retry_after
+                        )
                     )
                 case Err(InDoubt()):
-                    maybe_base_version = version
+                    in_doubt_base_version = version
             n_failures += 1
-            pause = self._pause_seconds(n_failures)
-            if self._clock.monotonic() + pause >= deadline:
+            backoff_seconds = self._backoff_seconds(n_failures)
+            if self._clock.monotonic() + backoff_seconds >= deadline:
                 return Err(
-                    NotTaken(
+                    ClaimUnavailable(
                         reason="claim_in_doubt",
                         retry_after=1.0,
-                        maybe_base_version=maybe_base_version,
+                        in_doubt_base_version=in_doubt_base_version,
                     )
                 )
-            await asyncio.sleep(pause)
+            await asyncio.sleep(backoff_seconds)
 
     async def finish(
         self, key: str, final: Claim, version: int, deadline: float
     ) -> bool:
-        """Record how an attempt ended; returns whether that is settled.
+        """Record the outcome of an attempt; return whether no more tries are needed.
 
-        Only this attempt's own row, and only while it says ``claimed``, is replaced.
-        Else a record that was retried for long could undo what another attempt or an
+        Only the row of this same attempt is replaced, and only while its state is
+        ``claimed``. Otherwise a late retry could overwrite what another attempt or an
         operator has written since.
 
         Parameters
@@ -132,12 +134,12 @@
         key : str
             The row's key.
         final : Claim
-            The row to write.
+            The claim to write.
         version : int
-            The version to replace: of the claim, or the one that a claim in doubt was
-            to replace, which then can't take effect any more.
+            The version to replace: that of the claim or, for a claim in doubt, the one
+            that its write was to replace, so that it can no longer take effect.
         deadline : float
-            Monotonic time until which to try.
+            Monotonic time in seconds until which to try.
         """
         n_failures = 0
         while True:
@@ -145,18 +147,18 @@
                 case Ok(_):
                     return True
                 case Err(Conflict(rows=rows)):
-                    standing = _claim_of(rows[0]) if rows else None
-                    if not _may_replace(standing, final):
-                        _log_superseded(key, standing, final)
+                    current = _claim_of(rows[0]) if rows else None
+                    if not _may_replace(current, final):
+                        _log_superseded(key, current, final)
                         return True
                     version = rows[0].version
                 case _:
                     pass
             n_failures += 1
-            pause = self._pause_seconds(n_failures)
-            if self._clock.monotonic() + pause >= deadline:
+            backoff_seconds = self._backoff_seconds(n_failures)
+            if self._clock.monotonic() + backoff_seconds >= deadline:
                 return False
-            await asyncio.sleep(pause)
+            await asyncio.sleep(backoff_seconds)
 
     async def read(
         self, key: str, deadline: float
@@ -187,24 +189,24 @@
 
     def _decide(
         self, claim: Claim, rows: tuple[Row, ...]
-    ) -> Result[Decision, NotTaken]:
+    ) -> Result[Decision, ClaimUnavailable]:
         if not rows:
-            return Err(NotTaken(reason="store_down", retry_after=1.0))
+            return Err(ClaimUnavailable(reason="store_down", retry_after=1.0))
         row = rows[0]
         if row.version == 0:
             return Ok(Proceed(version=0))
-        standing = _claim_of(row)
-        if standing is None:
-            # Nobody can tell what a mangled row stands for, so it is never run over.
-            return Err(NotTaken(reason="bad_claim_row"))
-        return Ok(decide(claim, standing, row.version, self._clock.wall()))
+        current = _claim_of(row)
+        if current is None:
+            # An unreadable row is not overwritten, as its call may have run.
+            return Err(ClaimUnavailable(reason="bad_claim_row"))
+        return Ok(decide(claim, current, row.version, self._clock.wall()))
 
-    def _pause_seconds(self, n_failures: int) -> float:
+    def _backoff_seconds(self, n_failures: int) -> float:
         return full_jitter(
             self._rng,
             n_failures,
-            first=PAUSE_FIRST_SECONDS,
-            most=PAUSE_MOST_SECONDS,
+            first=BACKOFF_INITIAL_SECONDS,
+            most=BACKOFF_MAX_SECONDS,
         )
 
 
@@ -218,17 +220,17 @@
     return None
 
 
-def _may_replace(standing: Claim | None, final: Claim) -> bool:
+def _may_replace(current: Claim | None, final: Claim) -> bool:
     return (
-        standing is not None
-        and standing.attempt == final.attempt
-        and standing.state == "claimed"
+        current is not None
+        and current.attempt == final.attempt
+        and current.state == "claimed"
     )
 
 
-def _log_superseded(key: str, standing: Claim | None, final: Claim) -> None:
-    is_ours = standing is not None and standing.attempt == final.attempt
-    if is_ours and standing is not None and standing.state == final.state:
+def _log_superseded(key: str, current: Claim | None, final: Claim) -> None:
+    is_ours = current is not None and current.attempt == final.attempt
+    if is_ours and current is not None and current.state == final.state:
         return
-    state = None if standing is None else standing.state
+    state = None if current is None else current.state
     log_message("claims:superseded", key=key, final=final.state, standing=state)
