--- a/celerytrail/services/__init__.py
+++ b/celerytrail/services/__init__.py
@@ -1,1 +1,1 @@
-"""Talk to plain services: calls that may not be repeated."""
+"""Calls to plain services, including those that must not run twice."""
--- a/celerytrail/services/endpoints.py
+++ b/celerytrail/services/endpoints.py
@@ -1,4 +1,4 @@
-"""The endpoints of plain services: what is known of each and which gets a call."""
+"""The endpoints of plain services: their known state and the choice among them."""
 
 from __future__ import annotations
 
@@ -20,27 +20,28 @@
 from ..policies.reports import EndpointReport
 from ..types import Address
 
-POLL_SECONDS = 1.0
-POLL_TRY_SECONDS = 1.0
+POLL_INTERVAL_SECONDS = 1.0
+POLL_TIMEOUT_SECONDS = 1.0
 SUSPECT_SECONDS = 2.0
-SUSPECT_LOAD = 1_000.0
-OTHER_DOMAIN_LOAD = 0.05
+SUSPECT_LOAD_PENALTY = 1_000.0
+CROSS_DOMAIN_LOAD_PENALTY = 0.05
 
 
 @dataclass(kw_only=True, slots=True)
 class EndpointView:
-    """What this node knows of one endpoint; it changes as news come.
+    """Holds this node's current knowledge of one endpoint.
 
     Parameters
     ----------
     spec : EndpointSpec
-        Its part of the document.
+        The endpoint's part of the document.
     report : EndpointReport or None
-        Its newest load report.
+        Its latest load report.
     n_outstanding : int
-        Calls of this node that it has.
+        Calls that this node has sent to it and that have not ended.
     suspect_until : float
-        Monotonic time until which others are preferred, as it did not answer.
+        Monotonic time in seconds until which other endpoints are preferred, as this
+        one did not answer.
     """
 
     spec: EndpointSpec
@@ -49,11 +50,11 @@
     suspect_until: float = 0.0
 
     def load(self, now: float, failure_domain: str) -> float:
-        """Return how busy it is expected to be, as a share of its capacity.
+        """Return the load estimate, as a fraction of the endpoint's capacity.
 
-        Reports are late, so this node's own calls are added to them. Counting a call
-        twice for a moment spreads work; missing it would pile all calls of the next
-        second on whichever endpoint last reported least.
+        Reports are delayed, so this node's outstanding calls are added to them. A call
+        that is briefly counted twice spreads the load. Without the addition, all calls
+        of the next second would go to the endpoint that last reported the lowest load.
         """
         n_calls = float(self.n_outstanding)
         capacity = 1
@@ -62,9 +63,9 @@
             capacity = max(self.report.capacity, 1)
         load = n_calls / capacity
         if self.spec.failure_domain != failure_domain:
-            load += OTHER_DOMAIN_LOAD
+            load += CROSS_DOMAIN_LOAD_PENALTY
         if now < self.suspect_until:
-            load += SUSPECT_LOAD
+            load += SUSPECT_LOAD_PENALTY
         return load
 
 
@@ -94,24 +95,25 @@
 
 
 class EndpointDirectory:
-    """Knows the endpoints of all services, and asks them for their load.
+    """Tracks the endpoints of all services and polls them for their load.
 
     Parameters
     ----------
     configuration : Configuration
-        Names the endpoints.
+        Provides the document that lists the endpoints.
     leaving : LeavingBoard
-        Which of them are leaving; the document and their own reports are noted on it.
+        Holds which endpoints are leaving; updated from the document and from load
+        reports.
     http : HttpClient
-        Makes the exchanges.
+        Sends the polls.
     clock : Clock
-        Its monotonic time must be the loop's.
+        Its monotonic time must be the event loop's.
     rng : random.Random
-        Breaks ties and spreads the polls.
+        Breaks ties and adds jitter to the poll interval.
     failure_domain : str
-        Where this node is; endpoints near by are preferred a little.
+        This node's failure domain, whose endpoints are slightly preferred.
     metrics : Metrics or None
-        Where bad reports are counted.
+        Counts invalid reports.
     """
 
     def __init__(
@@ -138,25 +140,25 @@
         configuration.subscribe(self._apply)
 
     def start(self) -> None:
-        """Begin to ask all endpoints for their load, again and again."""
+        """Start to poll all endpoints for their load."""
         self._is_running = True
         self._start_pollers()
 
     def close(self) -> None:
-        """Stop asking."""
+        """Stop polling."""
         self._is_running = False
         for task in self._pollers.values():
             task.cancel()
         self._pollers.clear()
 
     def choose(self, service: str, excluded: Collection[str]) -> EndpointView | None:
-        """Return where the next call of a service should go, if anywhere."""
-        known = self._services.get(service)
-        if known is None:
+        """Return the endpoint for the next call of a service, or None without one."""
+        known_service = self._services.get(service)
+        if known_service is None:
             return None
         wall = self._clock.wall()
         return choose(
-            known.views.values(),
+            known_service.views.values(),
             excluded=excluded,
             is_leaving=lambda name: self._leaving.is_leaving(name, wall),
             now=self._clock.monotonic(),
@@ -165,20 +167,20 @@
         )
 
     def views(self, service: str) -> list[EndpointView]:
-        """Return what is known of a service's endpoints, for operators."""
-        known = self._services.get(service)
-        return [] if known is None else list(known.views.values())
+        """Return the views of a service's endpoints, for operators."""
+        known_service = self._services.get(service)
+        return [] if known_service is None else list(known_service.views.values())
 
-    def note_failure(self, view: EndpointView) -> None:
-        """Prefer others for a while: this one can't be reached."""
+    def record_failure(self, view: EndpointView) -> None:
+        """Prefer other endpoints for a while, as this one could not be reached."""
         view.suspect_until = self._clock.monotonic() + SUSPECT_SECONDS
 
     def take_report(self, view: EndpointView, body: bytes) -> None:
-        """Take an endpoint's answer to the question for its load."""
+        """Decode an endpoint's load report and apply it to its view."""
         try:
             report = msgspec.json.decode(body, type=EndpointReport)
             if report.endpoint != view.spec.name:
-                raise msgspec.ValidationError(f"a report of {report.endpoint!r}")
+                raise msgspec.ValidationError(f"report names {report.endpoint!r}")
         except msgspec.MsgspecError as exc:
             log_message("services:bad_report", place=view.spec.name, problem=str(exc))
             if self._metrics is not None:
@@ -192,18 +194,18 @@
             self._leaving.withdraw(view.spec.name, "report")
 
     def _apply(self, versioned: VersionedDocument) -> None:
-        """Follow the document, keeping what is known of endpoints that stay."""
+        """Apply a new document, keeping the views of endpoints that remain."""
         services: dict[str, _Service] = {}
         for spec in versioned.document.services:
-            old = self._services.get(spec.name, _Service()).views
+            old_views = self._services.get(spec.name, _Service()).views
             service = services[spec.name] = _Service()
             for endpoint in spec.endpoints:
-                view = old.get(endpoint.name)
+                view = old_views.get(endpoint.name)
                 if view is None or view.spec.address != endpoint.address:
                     view = EndpointView(spec=endpoint)
                 view.spec = endpoint
                 service.views[endpoint.name] = view
-                self._note_role(endpoint)
+                self._apply_role(endpoint)
         self._services = services
         names = {engine.name for engine in versioned.document.engines}
         names.update(name for s in services.values() for name in s.views)
@@ -211,7 +213,7 @@
         if self._is_running:
             self._start_pollers()
 
-    def _note_role(self, endpoint: EndpointSpec) -> None:
+    def _apply_role(self, endpoint: EndpointSpec) -> None:
         if endpoint.role == "drain":
             self._leaving.note(endpoint.name, "document", self._clock.wall())
         else:
@@ -230,10 +232,12 @@
     async def _poll(self, view: EndpointView) -> None:
         address = Address.parse(view.spec.address)
         while True:
-            deadline = self._clock.monotonic() + POLL_TRY_SECONDS
-            made = await self._http.request(address, "GET", "/load", deadline=deadline)
-            if isinstance(made, Ok) and made.ok_value.status == 200:
-                self.take_report(view, made.ok_value.body)
+            deadline = self._clock.monotonic() + POLL_TIMEOUT_SECONDS
+            polled = await self._http.request(
+                address, "GET", "/load", deadline=deadline
+            )
+            if isinstance(polled, Ok) and polled.ok_value.status == 200:
+                self.take_report(view, polled.ok_value.body)
             else:
-                self.note_failure(view)
-            await asyncio.sleep(POLL_SECONDS * self._rng.uniform(0.8, 1.2))
+                self.record_failure(view)
+            await asyncio.sleep(POLL_INTERVAL_SECONDS * self._rng.uniform(0.8, 1.2))
--- a/celerytrail/services/outcomes.py
+++ b/celerytrail/services/outcomes.py
@@ -1,4 +1,4 @@
-"""A call to a plain service and what can become of it."""
+"""A call to a plain service and its possible results."""
 
 from __future__ import annotations
 
@@ -12,19 +12,19 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class ServiceCall:
-    """One call of an organisation.
+    """One call of an organisation to a plain service.
 
     Parameters
     ----------
     organisation, service, operation : str
-        Whose call it is and of what.
+        The calling organisation, and the service and operation that it calls.
     body : bytes
-        JSON.
+        The request body, in JSON.
     key : str or None
-        The idempotency key; None for an operation that may be repeated.
+        The idempotency key; None for an idempotent operation.
     deadline, deadline_at : float
-        Monotonic and wall time, in seconds, after which it is not sent any more and
-        its answer is not waited for.
+        Monotonic and wall time, in seconds, after which the call is no longer sent and
+        its answer no longer awaited.
     """
 
     organisation: str
@@ -38,14 +38,14 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Answered:
-    """The endpoint's answer.
+    """A call that the endpoint answered.
 
     Parameters
     ----------
     outcome : Outcome
-        What it said.
+        The endpoint's answer.
     is_replayed : bool
-        Whether it was said to an earlier call with the same key.
+        Whether it is the answer to an earlier call with the same key.
     """
 
     outcome: Outcome
@@ -54,14 +54,14 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class CallInProgress:
-    """A call with this key is being made.
+    """Another call with the same key is in progress.
 
     Parameters
     ----------
     ask : str
-        The path at which to ask for its outcome.
+        The path that returns the status of the call.
     retry_after : float
-        Seconds from now after which its outcome should be known.
+        Seconds after which its outcome should be known.
     """
 
     ask: str
--- a/celerytrail/services/recorder.py
+++ b/celerytrail/services/recorder.py
@@ -1,4 +1,4 @@
-"""Records how claims ended, now if the table allows, else for as long as it takes."""
+"""Records the outcome of claims, in the background while the table is unavailable."""
 
 from __future__ import annotations
 
@@ -13,9 +13,9 @@
 from .claims import Claim
 from .claimstore import ClaimStore
 
-RECORD_SECONDS = 0.1
-TRY_SECONDS = 2.0
-N_TOGETHER = 64
+FOREGROUND_TIMEOUT_SECONDS = 0.1
+BATCH_TIMEOUT_SECONDS = 2.0
+BATCH_ROWS = 64
 MAX_PENDING = 10_000
 
 
@@ -28,22 +28,22 @@
 class ClaimRecorder:
     """Writes the final rows of claims.
 
-    The caller is given its answer whether or not the row could be written: the answer
-    is true, and holding it back would help nobody. What could not be written is tried
-    again in the background, some rows at a time, with growing pauses. The queue is
-    bounded; a row that finds no place in it stays ``claimed`` and is told as unknown,
-    which is never wrong.
+    The caller receives its answer whether or not the row could be written, as the
+    answer is correct either way. Rows that could not be written are retried in the
+    background, in batches and with exponential backoff. The queue is bounded. A row
+    that does not fit stays ``claimed`` in the table and its outcome is reported as
+    unknown, which is always correct.
 
     Parameters
     ----------
     store : ClaimStore
-        Where the rows are.
+        Writes the rows.
     clock : Clock
-        Its monotonic time must be the loop's.
+        Its monotonic time must be the event loop's.
     rng : random.Random
-        Draws the pauses.
+        Adds jitter to the backoff.
     max_pending : int
-        Rows that may wait to be written.
+        Limit of rows that wait to be written.
     """
 
     def __init__(
@@ -63,24 +63,24 @@
 
     @property
     def n_pending(self) -> int:
-        """Return how many rows wait to be written."""
+        """Return the number of rows that wait to be written."""
         return len(self._pending)
 
-    def known(self, key: str) -> Claim | None:
-        """Return what this process knows of a claim and the table perhaps does not."""
+    def pending_claim(self, key: str) -> Claim | None:
+        """Return a claim that may not have been written to the table yet."""
         pending = self._pending.get(key)
         return None if pending is None else pending.final
 
     async def record(self, key: str, final: Claim, version: int) -> None:
-        """Write a final row now if that goes quickly, else in the background."""
+        """Write a final row, in the background if a short timeout passes."""
         self._pending[key] = _Pending(final=final, version=version)
-        deadline = self._clock.monotonic() + RECORD_SECONDS
+        deadline = self._clock.monotonic() + FOREGROUND_TIMEOUT_SECONDS
         if await self._store.finish(key, final, version, deadline):
             self._pending.pop(key, None)
             return
-        self.add(key, final, version)
+        self.enqueue(key, final, version)
 
-    def add(self, key: str, final: Claim, version: int) -> None:
+    def enqueue(self, key: str, final: Claim, version: int) -> None:
         """Write a final row in the background."""
         self._pending.pop(key, None)
         if len(self._pending) >= self._max_pending:
@@ -91,7 +91,7 @@
             self._task = asyncio.get_running_loop().create_task(self._run())
 
     async def drain(self, deadline: float) -> None:
-        """Wait until all is written, at the latest until ``deadline`` (loop time)."""
+        """Wait until all rows are written, at most until ``deadline`` (monotonic)."""
         if self._task is None or self._task.done():
             return
         await asyncio.wait([self._task], timeout=deadline - self._clock.monotonic())
@@ -99,25 +99,25 @@
             log_message("claims:records_left", n_pending=len(self._pending))
 
     def close(self) -> None:
-        """Stop at once."""
+        """Stop the background writes."""
         if self._task is not None:
             self._task.cancel()
 
     async def _run(self) -> None:
         n_failures = 0
         while self._pending:
-            some = list(self._pending.items())[:N_TOGETHER]
-            deadline = self._clock.monotonic() + TRY_SECONDS
-            settled = await asyncio.gather(
+            batch = list(self._pending.items())[:BATCH_ROWS]
+            deadline = self._clock.monotonic() + BATCH_TIMEOUT_SECONDS
+            results = await asyncio.gather(
                 *(
                     self._store.finish(key, row.final, row.version, deadline)
-                    for key, row in some
+                    for key, row in batch
                 )
             )
-            for (key, row), is_settled in zip(some, settled, strict=True):
+            for (key, row), is_settled in zip(batch, results, strict=True):
                 if is_settled and self._pending.get(key) is row:
                     del self._pending[key]
-            if all(settled):
+            if all(results):
                 n_failures = 0
                 continue
             n_failures += 1
--- a/celerytrail/services/sender.py
+++ b/celerytrail/services/sender.py
@@ -1,4 +1,4 @@
-"""Sends a call to an endpoint of its service, with one of three outcomes."""
+"""Sends a call to an endpoint: it is answered, not run, or its outcome is unknown."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
 
 
 class _NotRunBody(msgspec.Struct):
-    """An endpoint's word that it has run nothing of a call."""
+    """The body by which an endpoint states that it has not run a call."""
 
     not_run: bool
     reason: str = "refused"
@@ -36,16 +36,16 @@
 
 
 class CallSender:
-    """Sends calls.
+    """Sends calls to endpoints and retries them where that is safe.
 
     Parameters
     ----------
     directory : EndpointDirectory
-        Chooses endpoints.
+        Chooses the endpoints.
     http : HttpClient
-        Makes the exchanges.
+        Sends the requests.
     clock : Clock
-        Its monotonic time must be the loop's.
+        Its monotonic time must be the event loop's.
     """
 
     def __init__(
@@ -54,11 +54,11 @@
         self._directory = directory
         self._http = http
         self._clock = clock
-        self._budget = RetryBudget()
+        self._retry_budget = RetryBudget()
 
     def refusal(self, call: ServiceCall) -> NotRun | None:
-        """Return why a call can't be sent anywhere now, or None where it can."""
-        if self._is_late(call):
+        """Return why a call can't be sent now, or None where it can."""
+        if self._is_past_deadline(call):
             return NotRun(reason="deadline", detail="its deadline passed unsent")
         if self._directory.choose(call.service, ()) is None:
             return NotRun(reason="no_endpoint", retry_after=DEFAULT_RETRY_AFTER)
@@ -67,43 +67,46 @@
     async def send(
         self, call: ServiceCall, attempt: str, *, is_idempotent: bool
     ) -> SendResult:
-        """Send a call until it is answered, in doubt, or nobody can take it.
+        """Send a call until it is answered, in doubt, or no endpoint is left.
 
-        Another endpoint is tried only after one that certainly ran nothing, or where
-        running twice does no harm; and only as far as the retry budget goes.
+        Another endpoint is tried only if the previous one certainly did not run the
+        call or the call is idempotent, and only within the retry budget.
         """
-        self._budget.note_first_try()
+        self._retry_budget.note_first_try()
         tried: set[str] = set()
-        last: SendResult = Err(
+        last_result: SendResult = Err(
             NotRun(reason="no_endpoint", retry_after=DEFAULT_RETRY_AFTER)
         )
-        while not self._is_late(call):
+        while not self._is_past_deadline(call):
             view = self._directory.choose(call.service, tried)
-            if view is None or (tried and not self._budget.take()):
-                return last
+            if view is None or (tried and not self._retry_budget.take()):
+                return last_result
             tried.add(view.spec.name)
-            last = await self._send_to(view, call, attempt)
-            if isinstance(last, Ok):
-                return last
-            if isinstance(last.err_value, Unknown) and not is_idempotent:
-                return last
-        if isinstance(last, Err) and isinstance(last.err_value, Unknown):
-            return last
+            last_result = await self._send_to(view, call, attempt)
+            if isinstance(last_result, Ok):
+                return last_result
+            if isinstance(last_result.err_value, Unknown) and not is_idempotent:
+                return last_result
+        if isinstance(last_result, Err) and isinstance(last_result.err_value, Unknown):
+            return last_result
         return Err(NotRun(reason="deadline", detail="its deadline passed unsent"))
 
-    def _is_late(self, call: ServiceCall) -> bool:
-        """Tell by either clock; a VM that was suspended may show it on one only."""
-        is_late = self._clock.monotonic() >= call.deadline
-        return is_late or self._clock.wall() >= call.deadline_at
+    def _is_past_deadline(self, call: ServiceCall) -> bool:
+        """Return whether the deadline has passed on the monotonic or the wall clock.
+
+        After a suspension of the VM only one of them may show it.
+        """
+        is_past = self._clock.monotonic() >= call.deadline
+        return is_past or self._clock.wall() >= call.deadline_at
 
     async def _send_to(
         self, view: EndpointView, call: ServiceCall, attempt: str
     ) -> SendResult:
         view.n_outstanding += 1
         try:
-            # A pooled connection may be closed by the endpoint just as we write to
-            # it, which would leave in doubt a call that was never read.
-            made = await self._http.request(
+            # The endpoint may close a pooled connection during the write, which would
+            # leave in doubt a call that it never read.
+            result = await self._http.request(
                 Address.parse(view.spec.address),
                 "POST",
                 f"/call/{quote(call.operation, safe='')}",
@@ -114,10 +117,10 @@
             )
         finally:
             view.n_outstanding -= 1
-        if isinstance(made, Ok):
-            return _read(made.ok_value)
-        error = made.err_value
-        self._directory.note_failure(view)
+        if isinstance(result, Ok):
+            return _parse_response(result.ok_value)
+        error = result.err_value
+        self._directory.record_failure(view)
         if isinstance(error, NotSent):
             return Err(
                 NotRun(
@@ -142,8 +145,8 @@
     return headers
 
 
-def _read(res: Response) -> SendResult:
-    """Tell an answer from a refusal; whatever isn't clearly a refusal has run."""
+def _parse_response(res: Response) -> SendResult:
+    """Return the outcome of a response; only an explicit refusal is "not run"."""
     if res.status == 503:
         try:
             refusal = msgspec.json.decode(res.body, type=_NotRunBody)
--- a/celerytrail/services/sweeper.py
+++ b/celerytrail/services/sweeper.py
@@ -1,4 +1,4 @@
-"""What is done about old claims: finished ones go, open ones wait for a person."""
+"""Deletes expired claims and lets operators settle those of unknown outcome."""
 
 from __future__ import annotations
 
@@ -19,34 +19,34 @@
     RECORD_MARGIN_SECONDS,
     Claim,
     Outcome,
-    answered,
+    as_answered,
+    as_not_run,
     decode,
     encode,
-    released,
 )
 
-PAGE_ROWS = 100
-SWEEP_SECONDS = 60.0
-# Clocks of so many other VMs must say that a claim's time is over.
-N_WITNESSES = 2
-MAX_VMS = 2_000
-TRY_SECONDS = 5.0
+PAGE_SIZE_ROWS = 100
+SWEEP_INTERVAL_SECONDS = 60.0
+# Claims from this many VMs must be dated after a claim's expiry before it is deleted.
+N_CONFIRMING_VMS = 2
+MAX_TRACKED_VMS = 2_000
+SWEEP_TIMEOUT_SECONDS = 5.0
 
 Verdict = Literal["not_run", "answered"]
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class OpenClaim:
-    """A claim whose outcome nobody knows.
+    """A claim of unknown outcome that an operator has to settle.
 
     Parameters
     ----------
     row_key : str
-        Names it.
+        The row's key.
     claim : Claim
-        What is known.
+        The claim as stored.
     version : int
-        The row's version, to be handed back when it is settled.
+        The row's version, which is checked when the claim is settled.
     """
 
     row_key: str
@@ -61,9 +61,9 @@
     Parameters
     ----------
     claims : tuple of OpenClaim
-        Those that a person has to settle.
+        The open claims.
     next_after : str or None
-        Where the next page begins; None after the last.
+        The row key after which the next page begins; None on the last page.
     """
 
     claims: tuple[OpenClaim, ...]
@@ -71,61 +71,60 @@
 
 
 class ClaimSweeper:
-    """Reads through all claims, a page now and then.
+    """Scans all claims periodically, one page at a time, and deletes expired ones.
 
-    Every node sweeps, each from a place of its own drawing, so nobody has to be
-    chosen for it and the loss of a node changes nothing. Without it the table would
-    grow by a row for each filing ever made.
+    Every node sweeps independently, so no leader is needed and the loss of a node has
+    no effect. Without the sweep the table would grow by one row for each keyed call.
 
-    No single clock decides: a node whose clock jumps a month ahead would delete every
-    finished claim, and each filing sent again after that would run again. So a claim
-    goes only when claims made on other VMs are dated past its time as well; in a
-    table that nobody writes to, old claims stay.
+    No single clock decides. A node whose clock jumps a month ahead would otherwise
+    delete every finished claim, and a call retried after that would run again. A claim
+    is therefore deleted only when claims from several VMs are dated after its expiry
+    as well. In a table without new claims, old claims stay.
 
     Parameters
     ----------
     table : Table
-        Where the rows are.
+        Holds the rows of the claims.
     clock : Clock
-        Its monotonic time must be the loop's.
+        Its monotonic time must be the event loop's.
     rng : random.Random
-        Draws where to begin and spreads the pages.
+        Adds jitter to the sweep interval.
     """
 
     def __init__(self, *, table: Table, clock: Clock, rng: random.Random) -> None:
         self._table = table
         self._clock = clock
         self._rng = rng
-        self._after = ""
-        self._claimed_at: dict[str, float] = {}
+        self._cursor = ""
+        self._latest_claimed_at: dict[str, float] = {}
 
     async def run(self) -> None:
-        """Sweep for ever."""
+        """Sweep one page after another until cancelled."""
         while True:
-            await asyncio.sleep(SWEEP_SECONDS * self._rng.uniform(0.5, 1.5))
+            await asyncio.sleep(SWEEP_INTERVAL_SECONDS * self._rng.uniform(0.5, 1.5))
             await self.sweep()
 
     async def sweep(self) -> int:
-        """Sweep one page; returns how many claims were deleted."""
-        deadline = self._clock.monotonic() + TRY_SECONDS
+        """Sweep one page and return the number of claims deleted."""
+        deadline = self._clock.monotonic() + SWEEP_TIMEOUT_SECONDS
         page = await self._table.scan(
-            CLAIM_PREFIX, after=self._after, limit=PAGE_ROWS, deadline=deadline
+            CLAIM_PREFIX, after=self._cursor, limit=PAGE_SIZE_ROWS, deadline=deadline
         )
         if isinstance(page, Err):
             return 0
         rows = page.ok_value
-        self._after = rows[-1].key if len(rows) == PAGE_ROWS else ""
-        self._note_clocks(rows)
+        self._cursor = rows[-1].key if len(rows) == PAGE_SIZE_ROWS else ""
+        self._record_claim_times(rows)
         n_deleted = 0
         for row in rows:
-            if self._is_over(row):
+            if self._is_expired(row):
                 n_deleted += await self._delete(row, deadline)
         return n_deleted
 
     async def open_claims(
-        self, deadline: float, *, after: str = "", limit: int = PAGE_ROWS
+        self, deadline: float, *, after: str = "", limit: int = PAGE_SIZE_ROWS
     ) -> Result[OpenPage, Unavailable]:
-        """Return the claims of one page that a person has to settle."""
+        """Return the claims of one page that an operator has to settle."""
         page = await self._table.scan(
             CLAIM_PREFIX, after=after, limit=limit, deadline=deadline
         )
@@ -143,80 +142,84 @@
         return Ok(OpenPage(claims=tuple(found), next_after=next_after))
 
     async def settle(
-        self, opened: OpenClaim, verdict: Verdict, *, by: str, deadline: float
+        self, open_claim: OpenClaim, verdict: Verdict, *, by: str, deadline: float
     ) -> Result[None, Finding]:
-        """Record what a person found out at the endpoint.
+        """Record the outcome that an operator found out at the endpoint.
 
-        ``not_run`` lets the key be used again. It is refused before the call's
-        deadline has passed by a margin, since an attempt that is merely slow may send
-        until then.
+        ``not_run`` frees the key for another attempt. A claim can't be settled before
+        the call's deadline has passed by a margin, as a slow attempt may send until
+        then.
 
         Parameters
         ----------
-        opened : OpenClaim
-            As it was shown to the operator.
+        open_claim : OpenClaim
+            The claim as it was shown to the operator.
         verdict : {"not_run", "answered"}
-            What became of the call.
+            The outcome of the call.
         by : str
-            The operator.
+            The operator's name.
         deadline : float
-            Monotonic time until which to try.
+            Monotonic time in seconds until which to try.
         """
-        claim = opened.claim
+        claim = open_claim.claim
         if not self._is_open(claim):
-            problem = "its call may still be running; wait until its deadline is over"
-            return Err(Finding(place=opened.row_key, problem=problem))
-        final = released(claim, "settled")
+            problem = "its call may still be running; retry after its deadline"
+            return Err(Finding(place=open_claim.row_key, problem=problem))
+        final = as_not_run(claim, "settled")
         if verdict == "answered":
-            final = answered(claim, Outcome(status=200, is_whole=False))
+            final = as_answered(claim, Outcome(status=200, is_whole=False))
         final = replace(final, settled_by=by)
         transaction = Transaction(
-            checks=(Check(key=opened.row_key, version=opened.version),),
-            puts=(Put(key=opened.row_key, value=encode(final)),),
+            checks=(Check(key=open_claim.row_key, version=open_claim.version),),
+            puts=(Put(key=open_claim.row_key, value=encode(final)),),
         )
         match await self._table.transact(transaction, deadline):
             case Ok(_):
                 log_message(
-                    "claims:settled", key=opened.row_key, verdict=verdict, by=by
+                    "claims:settled", key=open_claim.row_key, verdict=verdict, by=by
                 )
                 return Ok(None)
             case Err(Conflict()):
-                problem = "it has changed since it was shown; look again"
+                problem = "it has changed since it was listed; list the claims again"
             case Err(InDoubt()):
-                problem = "the platform's reply was lost; look again"
+                problem = "the platform's reply was lost; list the claims again"
             case Err(Unavailable()):
-                problem = "the platform can't be reached; nothing was changed"
-        return Err(Finding(place=opened.row_key, problem=problem))
+                problem = "the platform is unavailable; nothing was changed"
+        return Err(Finding(place=open_claim.row_key, problem=problem))
 
     def _is_open(self, claim: Claim) -> bool:
-        """Tell whether it waits for a person; until then the request may be under way.
+        """Return whether an operator has to settle the claim.
 
-        That holds for a lost answer as well: the request may reach its endpoint late.
+        Until the deadline and its margin have passed the request may be in progress.
+        This applies to a lost answer as well: the request may reach its endpoint late.
         """
         is_late = self._clock.wall() > claim.deadline_at + RECORD_MARGIN_SECONDS
         return is_late and claim.state in ("claimed", "unknown")
 
-    def _is_over(self, row: Row) -> bool:
-        """Tell whether a row may go: finished and past the time it is kept for."""
+    def _is_expired(self, row: Row) -> bool:
+        """Return whether a row holds a finished claim past its retention time."""
         claim = decode(row.value, row.key).ok()
         if claim is None or claim.state not in ("answered", "not_run"):
             return False
-        witnesses = sorted(self._claimed_at.values(), reverse=True)
-        if len(witnesses) < N_WITNESSES:
+        latest_times = sorted(self._latest_claimed_at.values(), reverse=True)
+        if len(latest_times) < N_CONFIRMING_VMS:
             return False
-        now = min(self._clock.wall(), witnesses[N_WITNESSES - 1])
+        now = min(self._clock.wall(), latest_times[N_CONFIRMING_VMS - 1])
         return now > claim.expires_at
 
-    def _note_clocks(self, rows: tuple[Row, ...]) -> None:
-        """Remember the latest time that each VM is known to have had."""
+    def _record_claim_times(self, rows: tuple[Row, ...]) -> None:
+        """Record the time of the latest claim of each VM."""
         for row in rows:
             claim = decode(row.value, row.key).ok()
             if claim is None:
                 continue
             vm = claim.node.rpartition("-")[0] or claim.node
-            if vm in self._claimed_at or len(self._claimed_at) < MAX_VMS:
-                latest = self._claimed_at.get(vm, 0.0)
-                self._claimed_at[vm] = max(latest, claim.claimed_at)
+            if (
+                vm in self._latest_claimed_at
+                or len(self._latest_claimed_at) < MAX_TRACKED_VMS
+            ):
+                latest = self._latest_claimed_at.get(vm, 0.0)
+                self._latest_claimed_at[vm] = max(latest, claim.claimed_at)
 
     async def _delete(self, row: Row, deadline: float) -> int:
         transaction = Transaction(
--- a/tests/test_services_sweeper.py
+++ b/tests/test_services_sweeper.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from celerytrail.services.calls import KEEP_SECONDS
+from celerytrail.services.calls import CLAIM_RETENTION_SECONDS
 from celerytrail.services.sweeper import ClaimSweeper
 from tests.servicefakes import World, word
 
@@ -30,7 +30,7 @@
             await world.a.file(f"k{n}")
         world.http.script = ["lost_after"]
         await world.a.file("lost")
-        await asyncio.sleep(KEEP_SECONDS - 10.0)
+        await asyncio.sleep(CLAIM_RETENTION_SECONDS - 10.0)
         assert await sweeper.sweep() + await sweeper.sweep() == 0
         await asyncio.sleep(60.0)
         # Without newer claims nobody else's clock says that the time is over.
