--- a/celerytrail/services/calls.py
+++ b/celerytrail/services/calls.py
@@ -182,8 +182,8 @@
 
     async def _run_keyed(self, call: ServiceCall, key: str) -> CallResult:
         claim = self._new_claim(call)
-        row = row_key(call.organisation, key)
-        own = self._recorder.pending_claim(row)
+        claim_key = row_key(call.organisation, key)
+        own = self._recorder.pending_claim(claim_key)
         if own is not None and own.state == "answered":
             now = self._clock.wall()
             return self._result_without_send(call, decide(claim, own, 0, now))
@@ -194,9 +194,9 @@
         claim_deadline = min(
             call.deadline, self._clock.monotonic() + CLAIM_TIMEOUT_SECONDS
         )
-        acquired = await self._claims.acquire(row, claim, claim_deadline)
+        acquired = await self._claims.acquire(claim_key, claim, claim_deadline)
         if isinstance(acquired, Err):
-            return self._refuse_unclaimed(row, claim, acquired.err_value)
+            return self._refuse_unclaimed(claim_key, claim, acquired.err_value)
         decision = acquired.ok_value
         self._count_claim(type(decision).__name__)
         if not isinstance(decision, Held):
@@ -216,17 +216,17 @@
                 result = Err(
                     Unknown(reason=reason, detail=detail, ask=_status_path(call))
                 )
-        await self._recorder.record(row, final, decision.version)
+        await self._recorder.record(claim_key, final, decision.version)
         return result
 
     def _refuse_unclaimed(
-        self, row: str, claim: Claim, failure: ClaimUnavailable
+        self, claim_key: str, claim: Claim, failure: ClaimUnavailable
     ) -> CallResult:
         """Refuse the request and, if its claim may still appear, release that later."""
         self._count_claim(failure.reason)
         if failure.in_doubt_base_version is not None:
             final = as_not_run(claim, failure.reason)
-            self._recorder.enqueue(row, final, failure.in_doubt_base_version)
+            self._recorder.enqueue(claim_key, final, failure.in_doubt_base_version)
         # The refusal concerns this request only. A caller that took it as the state of
         # the key might repeat, under another key, a call that has already run.
         detail = (
--- a/tests/servicefakes.py
+++ b/tests/servicefakes.py
@@ -1,4 +1,4 @@
-"""Two nodes before one table and two endpoints, all in one process; for tests."""
+"""Test fakes: two nodes that share one table and two endpoints in one process."""
 
 from __future__ import annotations
 
@@ -43,77 +43,80 @@
     ),
 )
 
-_attempt: ContextVar[str] = ContextVar("attempt", default="")
+_current_attempt: ContextVar[str] = ContextVar("attempt", default="")
 
 
 class FakeEndpoints(HttpClient):
-    """Answers calls as its script says, and keeps the ledger of what ran.
-
-    The script's words: ``ok``, ``refused`` (connection), ``not_run`` (endpoint's own
-    refusal), ``lost_before`` and ``lost_after`` the run, ``failed`` (it ran and its
-    answer is a 503). Past the script's end all is well. ``gate``, where set, holds
-    the exchange after it has connected, as a paused process would; ``slow`` seconds
-    pass before the run's answer.
+    """Answers calls according to a script and records the attempts that ran.
+
+    Entries of ``script``, one for each request: ``ok``, ``refused`` (the connection),
+    ``not_run`` (refused by the endpoint), ``lost_before`` and ``lost_after`` (the
+    connection is lost before or after the run), ``failed`` (the call ran and its answer
+    is a 503). Without an entry the request succeeds. ``gate``, where set, blocks a
+    request after it has connected, as in a paused process. ``run_seconds`` is the
+    duration of a run.
     """
 
     def __init__(self):
         super().__init__()
         self.script = []
-        self.ledger = []
+        self.run_attempts = []
         self.gate = None
-        self.slow = 0.0
-        self.n_bytes = 0
+        self.run_seconds = 0.0
+        self.n_padding_bytes = 0
 
     async def request(self, address, method, path, **kwargs):
         await asyncio.sleep(0)
         loop = asyncio.get_running_loop()
-        word = self.script.pop(0) if self.script else "ok"
-        if word == "refused":
+        entry = self.script.pop(0) if self.script else "ok"
+        if entry == "refused":
             return Err(NotSent(reason="connect_refused"))
         if self.gate is not None:
             await self.gate.wait()
         deadline = kwargs["deadline"]
         if loop.time() >= deadline:
             return Err(NotSent(reason="deadline"))
-        if word == "not_run":
+        if entry == "not_run":
             return self._answer(503, {"not_run": True, "retry_after": 0.5})
-        if word == "lost_before":
+        if entry == "lost_before":
             return Err(Lost(reason="cut"))
-        self.ledger.append(kwargs["headers"]["x-attempt-id"])
-        if word == "lost_after":
+        self.run_attempts.append(kwargs["headers"]["x-attempt-id"])
+        if entry == "lost_after":
             return Err(Lost(reason="cut"))
-        if word == "failed":
+        if entry == "failed":
             return self._answer(503, {"error": "after it ran"})
-        if self.slow:
-            await asyncio.sleep(min(self.slow, deadline - loop.time()))
+        if self.run_seconds:
+            await asyncio.sleep(min(self.run_seconds, deadline - loop.time()))
             if loop.time() >= deadline:
                 return Err(Lost(reason="timeout"))
-        return self._answer(200, {"run": len(self.ledger), "pad": "x" * self.n_bytes})
+        return self._answer(
+            200, {"run": len(self.run_attempts), "pad": "x" * self.n_padding_bytes}
+        )
 
     def _answer(self, status, value):
         return Ok(Response(status=status, headers={}, body=msgspec.json.encode(value)))
 
 
 class RecordingCalls(ServiceCalls):
-    """Remembers what each attempt was told."""
+    """Records the result of each attempt."""
 
     def __init__(self, **kwargs):
         super().__init__(**kwargs)
-        self.told = []
+        self.attempt_results = []
 
     def _new_attempt(self):
         attempt = super()._new_attempt()
-        _attempt.set(attempt)
+        _current_attempt.set(attempt)
         return attempt
 
     async def _run(self, call):
         result = await super()._run(call)
-        self.told.append((_attempt.get(), result))
+        self.attempt_results.append((_current_attempt.get(), result))
         return result
 
 
 class FakeNode:
-    """One node's calls over a shared table and shared endpoints."""
+    """The service calls of one node, over a shared table and shared endpoints."""
 
     def __init__(self, *, name, table, http, seed=1, spec=BOOKINGS):
         self.clock = LoopClock()
@@ -161,7 +164,7 @@
 
 
 class World:
-    """A table, endpoints and two nodes."""
+    """Two nodes that share a table and endpoints."""
 
     def __init__(self, *, seed=1):
         self.table = FakeTable()
@@ -170,19 +173,19 @@
         self.b = FakeNode(name="b", table=self.table, http=self.http, seed=seed)
 
     @property
-    def ledger(self):
-        return self.http.ledger
+    def run_attempts(self):
+        return self.http.run_attempts
 
 
 def word(result):
-    """Return one word for what a caller was told."""
+    """Return the name of the outcome that the caller received."""
     if isinstance(result, Ok):
         assert isinstance(result.ok_value, Answered)
         return "replayed" if result.ok_value.is_replayed else "answered"
-    kinds = {
+    outcome_names = {
         NotRun: "not_run",
         Unknown: "unknown",
         KeyReused: "reused",
         CallInProgress: "in_progress",
     }
-    return kinds[type(result.err_value)]
+    return outcome_names[type(result.err_value)]
--- a/tests/test_services_api.py
+++ b/tests/test_services_api.py
@@ -1,4 +1,4 @@
-"""The callers' routes for plain services, over real sockets to the stand-ins."""
+"""The callers' API of plain services, over real sockets to the stand-ins."""
 
 from __future__ import annotations
 
@@ -49,7 +49,7 @@
 
 
 class NameAuthenticator:
-    """Takes the organisation's name for its key."""
+    """Accepts the name of an organisation as its API key."""
 
     def authenticate(self, req):
         organisation = ORGANISATIONS.get(req.headers.get("authorization", ""))
@@ -59,7 +59,7 @@
 
 
 class Stack:
-    """A platform, one endpoint, and one node's part for plain services."""
+    """A platform, one endpoint and one node's API of plain services."""
 
     async def start(self):
         clock, rng = SystemClock(), random.Random(1)
@@ -116,36 +116,36 @@
         for server in (self.server, self.platform.server, self.endpoint.server):
             await server.close()
 
-    async def ask(self, method, path, body=b"{}", **headers):
-        """Ask as the office unless told otherwise; underscores stand for dashes."""
-        named = {name.replace("_", "-"): text for name, text in headers.items()}
-        made = await self.http.request(
+    async def request(self, method, path, body=b"{}", **headers):
+        """Send a request, as "office" by default; "_" in header names becomes "-"."""
+        dashed = {name.replace("_", "-"): text for name, text in headers.items()}
+        result = await self.http.request(
             self.address,
             method,
             f"/v1/services/{path}",
             body=body,
-            headers={"authorization": "office", **named},
+            headers={"authorization": "office", **dashed},
         )
-        return made.ok_value
+        return result.ok_value
 
 
 @pytest.fixture
 async def stack():
-    whole = Stack()
-    await whole.start()
-    yield whole
-    await whole.close()
+    service_stack = Stack()
+    await service_stack.start()
+    yield service_stack
+    await service_stack.close()
 
 
 class TestServiceApi:
     async def test_call_replay_and_status(self, stack):
-        first = await stack.ask("POST", "books/file", idempotency_key="k/1")
-        again = await stack.ask("POST", "books/file", idempotency_key="k/1")
+        first = await stack.request("POST", "books/file", idempotency_key="k/1")
+        again = await stack.request("POST", "books/file", idempotency_key="k/1")
         assert (first.status, again.status) == (200, 200)
         assert first.body == again.body
         assert "celerytrail-replayed" not in first.headers
         assert again.headers["celerytrail-replayed"] == "true"
-        status = (await stack.ask("GET", "books/calls/k%2F1")).json()
+        status = (await stack.request("GET", "books/calls/k%2F1")).json()
         assert (status["state"], status["status"]) == ("answered", 200)
         assert len(stack.endpoint.runs) == 1
 
@@ -171,89 +171,91 @@
     async def test_bad_request_names_its_place(
         self, stack, method, path, headers, status, place
     ):
-        res = await stack.ask(method, path, **headers)
+        res = await stack.request(method, path, **headers)
         assert res.status == status
         assert place in (None, res.json()["error"]["place"])
         assert stack.endpoint.runs == []
 
     async def test_body_that_is_not_json(self, stack):
         for body in (b"{", b"[" * 100_000):
-            res = await stack.ask("POST", "books/file", body, idempotency_key="k")
+            res = await stack.request("POST", "books/file", body, idempotency_key="k")
             assert (res.status, res.json()["error"]["place"]) == (400, "body")
 
     async def test_other_body_under_the_same_key(self, stack):
-        await stack.ask("POST", "books/file", b"1", idempotency_key="k")
-        res = await stack.ask("POST", "books/file", b"2", idempotency_key="k")
+        await stack.request("POST", "books/file", b"1", idempotency_key="k")
+        res = await stack.request("POST", "books/file", b"2", idempotency_key="k")
         assert res.status == 422
         assert len(stack.endpoint.runs) == 1
 
-    async def test_platform_down_is_not_run_with_a_time_to_come_back(self, stack):
+    async def test_platform_down_is_not_run_with_retry_after(self, stack):
         stack.platform.faults.add(Fault(name="outage", retry_after=3.0))
-        res = await stack.ask("POST", "books/file", idempotency_key="k")
+        res = await stack.request("POST", "books/file", idempotency_key="k")
         assert res.status == 503
         assert res.json()["error"]["type"] == "not_run"
         assert res.headers["retry-after"] == "3"
         assert res.headers["celerytrail-outcome"] == "not_run"
         assert stack.endpoint.runs == []
-        # Calls that may be repeated need no claim and go on.
-        assert (await stack.ask("POST", "books/status")).status == 200
-        assert (await stack.ask("GET", "books/calls/k")).status == 503
+        # Idempotent calls need no claim and still run.
+        assert (await stack.request("POST", "books/status")).status == 200
+        assert (await stack.request("GET", "books/calls/k")).status == 503
 
-    async def test_endpoint_that_refuses(self, stack):
+    async def test_refusal_by_the_endpoint_is_not_run(self, stack):
         stack.endpoint.faults.add(Fault(name="refuse_work", retry_after=7.0))
-        res = await stack.ask("POST", "books/file", idempotency_key="k")
+        res = await stack.request("POST", "books/file", idempotency_key="k")
         assert (res.status, res.headers["retry-after"]) == (503, "7")
-        status = (await stack.ask("GET", "books/calls/k")).json()
+        status = (await stack.request("GET", "books/calls/k")).json()
         assert status["state"] == "not_run"
         assert stack.endpoint.runs == []
 
-    @pytest.mark.parametrize(("said", "told"), [(-5.0, "1"), (1e300, "3600")])
-    async def test_time_to_come_back_that_cannot_be_meant(self, stack, said, told):
-        stack.endpoint.faults.add(Fault(name="refuse_work", retry_after=said))
-        res = await stack.ask("POST", "books/file", idempotency_key="k")
-        assert (res.status, res.headers["retry-after"]) == (503, told)
+    @pytest.mark.parametrize(("sent_seconds", "header"), [(-5.0, "1"), (1e300, "3600")])
+    async def test_retry_after_out_of_range_is_clamped(
+        self, stack, sent_seconds, header
+    ):
+        stack.endpoint.faults.add(Fault(name="refuse_work", retry_after=sent_seconds))
+        res = await stack.request("POST", "books/file", idempotency_key="k")
+        assert (res.status, res.headers["retry-after"]) == (503, header)
 
     async def test_reply_lost_after_the_run(self, stack):
-        """The endpoint files a signature and its answer is lost. The caller is told
-        that nobody knows and where to ask; sent again, it does not run again.
+        """The endpoint runs a call and its answer is lost. The outcome is reported as
+        unknown, with the path of its status, and a retry does not run the call again.
         """
         stack.endpoint.faults.add(Fault(name="lose_reply", path="/call", n=1))
-        res = await stack.ask("POST", "books/file", idempotency_key="k")
+        res = await stack.request("POST", "books/file", idempotency_key="k")
         assert res.status == 504
         assert res.json()["error"]["ask"] == "/v1/services/books/calls/k"
         assert res.headers["celerytrail-outcome"] == "unknown"
-        again = await stack.ask("POST", "books/file", idempotency_key="k")
+        again = await stack.request("POST", "books/file", idempotency_key="k")
         assert again.status == 504
         assert len(stack.endpoint.runs) == 1
 
-    async def test_cut_before_the_run_is_unknown_too(self, stack):
-        """The connection is lost after the body was written and before anything ran.
-        From here that looks the same, so it is never called "not run".
+    async def test_connection_lost_before_the_run_is_unknown(self, stack):
+        """The connection is lost after the body was written and before the call ran.
+        The node can't tell this from a lost answer, so it must not report "not run".
         """
         stack.endpoint.faults.add(Fault(name="outage", path="/call", cut=True))
-        res = await stack.ask("POST", "books/file", idempotency_key="k")
+        res = await stack.request("POST", "books/file", idempotency_key="k")
         assert res.status == 504
         assert stack.endpoint.runs == []
 
-    async def test_stalled_endpoint_is_given_up_at_the_deadline(self, stack):
+    async def test_stalled_endpoint_times_out_at_the_deadline(self, stack):
         stack.endpoint.faults.add(Fault(name="stall", path="/call"))
         at = f"{SystemClock().wall() + 2.0:.3f}"
-        res = await stack.ask(
+        res = await stack.request(
             "POST", "books/file", idempotency_key="k", x_deadline_at=at
         )
         assert res.status == 504
 
     async def test_connection_refused(self, stack):
         await stack.endpoint.server.close()
-        res = await stack.ask("POST", "books/file", idempotency_key="k")
+        res = await stack.request("POST", "books/file", idempotency_key="k")
         assert res.status == 503
         assert res.json()["error"]["reason"] == "connect_refused"
 
 
 class TestPausedBeforeTheSend:
     async def test_deadline_that_passed_while_connecting(self, stack, monkeypatch):
-        """A process is stopped just after it connected to the endpoint and goes on
-        after the call's deadline. It must find that out before it writes.
+        """A process is paused just after it connected to the endpoint and resumes after
+        the call's deadline. It must check the deadline again before it writes.
         """
         loop = asyncio.get_running_loop()
         connect = loop.create_connection
@@ -264,7 +266,7 @@
             return connected
 
         monkeypatch.setattr(loop, "create_connection", connect_and_pause)
-        made = await stack.http.request(
+        result = await stack.http.request(
             stack.endpoint.server.address,
             "POST",
             "/call/file",
@@ -272,5 +274,5 @@
             fresh=True,
         )
         monkeypatch.undo()
-        assert isinstance(made.err_value, NotSent)
+        assert isinstance(result.err_value, NotSent)
         assert stack.endpoint.runs == []
--- a/tests/test_services_sweeper.py
+++ b/tests/test_services_sweeper.py
@@ -1,4 +1,4 @@
-"""Old claims: finished ones go after a week, open ones wait for a person."""
+"""Finished claims are deleted after a week; open ones wait for an operator."""
 
 from __future__ import annotations
 
@@ -12,20 +12,22 @@
 
 
 @pytest.fixture
-async def swept():
+async def world_and_sweeper():
     world = World()
     node = world.a
     yield world, ClaimSweeper(table=world.table, clock=node.clock, rng=node.rng)
 
 
-def soon(world):
+def short_deadline(world):
     return world.a.clock.monotonic() + 1.0
 
 
 @pytest.mark.looptime
 class TestSweep:
-    async def test_finished_claims_go_and_open_ones_stay(self, swept):
-        world, sweeper = swept
+    async def test_finished_claims_are_deleted_and_open_ones_kept(
+        self, world_and_sweeper
+    ):
+        world, sweeper = world_and_sweeper
         for n in range(150):
             await world.a.file(f"k{n}")
         world.http.script = ["lost_after"]
@@ -33,7 +35,7 @@
         await asyncio.sleep(CLAIM_RETENTION_SECONDS - 10.0)
         assert await sweeper.sweep() + await sweeper.sweep() == 0
         await asyncio.sleep(60.0)
-        # Without newer claims nobody else's clock says that the time is over.
+        # Without newer claims no other VM's clock confirms that the claims expired.
         assert await sweeper.sweep() + await sweeper.sweep() == 0
         for node in (world.a, world.b):
             await node.file(f"new-{node.clock}")
@@ -42,11 +44,11 @@
         assert len(world.table.rows.scan("claims/", "", 500)) == 3
         assert word(await world.b.file("lost")) == "unknown"
 
-    async def test_clock_that_jumped_ahead_deletes_nothing(self, swept):
-        """A node's clock jumps a month ahead. By it every finished filing is long
-        over; were they deleted, a steward's retry would file a second time.
+    async def test_clock_that_jumped_ahead_deletes_nothing(self, world_and_sweeper):
+        """A node's clock jumps a month ahead, so that all finished claims seem expired
+        there. If they were deleted, a retry would run its call a second time.
         """
-        world, sweeper = swept
+        world, sweeper = world_and_sweeper
         await world.a.file()
         await world.b.file("other")
         world.a.clock.wall_offset += 30 * 24 * 3600.0
@@ -58,49 +60,63 @@
 
 @pytest.mark.looptime
 class TestSettle:
-    async def lose_one(self, world):
+    async def lose_call(self, world):
         world.http.script = ["lost_before"]
         await world.a.file(seconds=10.0)
 
-    async def test_operator_finds_that_it_did_not_run(self, swept):
-        world, sweeper = swept
-        await self.lose_one(world)
+    async def test_operator_finds_that_it_did_not_run(self, world_and_sweeper):
+        world, sweeper = world_and_sweeper
+        await self.lose_call(world)
         await asyncio.sleep(60.0)
-        (opened,) = (await sweeper.open_claims(soon(world))).ok_value.claims
+        (open_claim,) = (
+            await sweeper.open_claims(short_deadline(world))
+        ).ok_value.claims
         settled = await sweeper.settle(
-            opened, "not_run", by="ana", deadline=soon(world)
+            open_claim, "not_run", by="ana", deadline=short_deadline(world)
         )
         assert settled.is_ok()
         assert word(await world.b.file()) == "answered"
-        assert len(world.ledger) == 1
+        assert len(world.run_attempts) == 1
 
-    async def test_operator_finds_that_it_ran(self, swept):
-        world, sweeper = swept
-        await self.lose_one(world)
+    async def test_operator_finds_that_it_ran(self, world_and_sweeper):
+        world, sweeper = world_and_sweeper
+        await self.lose_call(world)
         await asyncio.sleep(60.0)
-        (opened,) = (await sweeper.open_claims(soon(world))).ok_value.claims
-        await sweeper.settle(opened, "answered", by="ana", deadline=soon(world))
+        (open_claim,) = (
+            await sweeper.open_claims(short_deadline(world))
+        ).ok_value.claims
+        await sweeper.settle(
+            open_claim, "answered", by="ana", deadline=short_deadline(world)
+        )
         assert word(await world.b.file()) == "replayed"
-        assert world.ledger == []
-
-    async def test_call_that_may_be_under_way_is_not_settled(self, swept):
-        """An operator sees a claim without an outcome and calls it not run, while the
-        node that holds it is merely paused. Were that taken, the key would be free
-        and the thawed node could still send.
+        assert world.run_attempts == []
+
+    async def test_call_that_may_be_running_is_not_listed_as_open(
+        self, world_and_sweeper
+    ):
+        """A claim without an outcome is not listed as open before its deadline, as its
+        node may only be paused. If it were settled as not run, the key would be free
+        and the resumed node could still send.
         """
-        world, sweeper = swept
+        world, sweeper = world_and_sweeper
         world.http.gate = asyncio.Event()
         call = asyncio.create_task(world.a.file(seconds=30.0))
         await asyncio.sleep(20.0)
-        assert (await sweeper.open_claims(soon(world))).ok_value.claims == ()
+        assert (await sweeper.open_claims(short_deadline(world))).ok_value.claims == ()
         world.http.gate.set()
         assert word(await call) == "answered"
 
-    async def test_two_operators(self, swept):
-        world, sweeper = swept
-        await self.lose_one(world)
+    async def test_second_of_two_operators_is_refused(self, world_and_sweeper):
+        world, sweeper = world_and_sweeper
+        await self.lose_call(world)
         await asyncio.sleep(60.0)
-        (opened,) = (await sweeper.open_claims(soon(world))).ok_value.claims
-        first = await sweeper.settle(opened, "answered", by="a", deadline=soon(world))
-        second = await sweeper.settle(opened, "not_run", by="b", deadline=soon(world))
+        (open_claim,) = (
+            await sweeper.open_claims(short_deadline(world))
+        ).ok_value.claims
+        first = await sweeper.settle(
+            open_claim, "answered", by="a", deadline=short_deadline(world)
+        )
+        second = await sweeper.settle(
+            open_claim, "not_run", by="b", deadline=short_deadline(world)
+        )
         assert (first.is_ok(), second.is_ok()) == (True, False)
