--- a/celerytrail/nodes/member.py
+++ b/celerytrail/nodes/member.py
@@ -1,4 +1,4 @@
-"""A member: another node as this one knows it."""
+"""A node's entry in the membership table."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class State(enum.IntEnum):
-    """A member's state; at one incarnation a higher number goes before a lower."""
+    """A member's state; at equal incarnation the higher number takes precedence."""
 
     ALIVE = 0
     LEAVING = 1
@@ -19,26 +19,27 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Member:
-    """A node as this one knows it.
+    """Holds a node's name, addresses, location and state.
 
     Parameters
     ----------
     node : str
-        Its name, unique among the nodes.
+        The unique name.
     incarnation : int
-        Rises with each start, with each refuted suspicion, and when it leaves.
+        Rises at each start, with each refuted suspicion and each change of the node's
+        own state.
     state : State
         Alive, leaving, suspect or dead.
     caller : Address
-        Where callers reach it.
+        Address for callers.
     peer : Address
-        Where nodes reach it: by HTTP, and by datagrams at the same port.
+        Address for other nodes: HTTP, and datagrams at the same port.
     vm, failure_domain, region : str
-        Where it runs.
+        Where the node runs.
     version : int
-        The configuration version it had in force when last heard directly; 0 where
-        this node has not heard it by itself. Too many bytes to keep for all at all
-        nodes, so it is only as fresh as that.
+        The configuration version in force according to the member's last datagram to
+        this node; 0 if there was none. Updates don't carry it, as keeping it up to date
+        for all members at all nodes would take too many bytes.
     """
 
     node: str
@@ -53,5 +54,5 @@
 
     @property
     def is_live(self) -> bool:
-        """Return whether callers may be sent to it and homes may be at it."""
+        """Return whether the node accepts callers and may be a home."""
         return self.state is State.ALIVE
--- a/celerytrail/nodes/signing.py
+++ b/celerytrail/nodes/signing.py
@@ -1,4 +1,4 @@
-"""Signatures by which nodes know one another's datagrams and requests."""
+"""Signatures of datagrams and requests between nodes."""
 
 from __future__ import annotations
 
@@ -12,15 +12,15 @@
 
 
 class PeerKeys:
-    """The keys that nodes share: the first signs, all are accepted.
+    """Holds the shared peer keys; the first signs, all are accepted.
 
-    Several are accepted so that a key can be replaced while nodes restart one after
-    another: first every node accepts the new key, then every node signs by it.
+    Accepting several allows key rotation during a rolling restart: first every node
+    accepts the new key, then every node signs with it.
 
     Parameters
     ----------
     keys : sequence of bytes
-        At least one key; the first is the one that signs.
+        At least one key; the first signs.
     """
 
     def __init__(self, *, keys: Sequence[bytes]) -> None:
@@ -29,11 +29,11 @@
         self._keys = tuple(keys)
 
     def seal(self, data: bytes) -> bytes:
-        """Return the data with its signature before it."""
+        """Return the data prefixed with its signature."""
         return _sign(self._keys[0], data) + data
 
     def open(self, sealed: bytes) -> bytes | None:
-        """Return the data of a sealed datagram, or None where no key fits."""
+        """Return the data of a sealed datagram, or None if no key matches."""
         signature, data = sealed[:SIGNATURE_BYTES], sealed[SIGNATURE_BYTES:]
         for key in self._keys:
             if hmac.compare_digest(_sign(key, data), signature):
@@ -41,12 +41,12 @@
         return None
 
     def headers(self, method: str, path: str, body: bytes) -> dict[str, str]:
-        """Return the header that signs a request to another node."""
+        """Return the signature header of a request to another node."""
         signature = _sign(self._keys[0], _request_text(method, path, body))
         return {SIGNATURE_HEADER: signature.hex()}
 
     def accepts(self, req: Request) -> bool:
-        """Return whether one of the keys signed the request."""
+        """Return whether the request is signed with one of the keys."""
         given = req.headers.get(SIGNATURE_HEADER, "").encode("utf-8")
         text = _request_text(req.method, req.path, req.body)
         is_signed = False
@@ -57,7 +57,8 @@
 
 
 def _sign(key: bytes, data: bytes) -> bytes:
-    # HMAC-SHA256 cut to 128 bits, as RFC 2104 allows: 16 bytes of every datagram.
+    # HMAC-SHA256 truncated to 128 bits, as RFC 2104 allows, so that a signature takes
+    # only 16 bytes of every datagram.
     return hmac.digest(key, data, "sha256")[:SIGNATURE_BYTES]
 
 
--- a/celerytrail/nodes/view.py
+++ b/celerytrail/nodes/view.py
@@ -1,4 +1,7 @@
-"""What homes need to know of the nodes; `Nodes` is one, tests make others."""
+"""The interface to the live nodes that homes use, and the ranking of nodes by key.
+
+`Nodes` implements the interface; tests use other implementations.
+"""
 
 from __future__ import annotations
 
@@ -8,28 +11,28 @@
 from .member import Member
 from .rendezvous import rank
 
-# Keys of pools and groups of organisations that are kept at a time.
-MAX_ORDERS = 2_000
+# One for each key of a pool or of a group of organisations, by region.
+MAX_CACHED_RANKINGS = 2_000
 
 
 class NodesView(Protocol):
-    """The live nodes and news of changes."""
+    """Provides the live nodes and notifies of changes."""
 
     @property
     def me(self) -> Member:
         """Return this node."""
 
     def live(self, region: str | None = None) -> tuple[Member, ...]:
-        """Return the members that work may be sent to."""
+        """Return the members that accept work."""
 
     def on_change(self, callback: Callable[[], None]) -> None:
-        """Call after any change of `live`."""
+        """Register a callback for each change of `live`."""
 
 
 class Ranking:
-    """Ranks of the live nodes, kept until one comes or goes.
+    """Caches the ranking of the live nodes by key until the live nodes change.
 
-    A rank costs a hash for each live node, and one is needed for every request.
+    Every request needs a ranking, and each one costs a hash for each live node.
 
     Parameters
     ----------
@@ -39,25 +42,25 @@
 
     def __init__(self, *, nodes: NodesView) -> None:
         self._nodes = nodes
-        self._orders: dict[tuple[str, str | None], list[Member]] = {}
-        nodes.on_change(self._orders.clear)
+        self._rankings: dict[tuple[str, str | None], list[Member]] = {}
+        nodes.on_change(self._rankings.clear)
 
     def order(self, key: str, region: str | None) -> list[Member]:
-        """Return the live nodes in their order for a key; not to be changed."""
-        if len(self._orders) >= MAX_ORDERS:
-            self._orders.clear()
-        order = self._orders.get((key, region))
-        if order is None:
-            order = ranked(self._nodes, key, region)
-            self._orders[key, region] = order
-        return order
+        """Return the live nodes ranked for a key; callers must not modify the list."""
+        if len(self._rankings) >= MAX_CACHED_RANKINGS:
+            self._rankings.clear()
+        ranking = self._rankings.get((key, region))
+        if ranking is None:
+            ranking = ranked(self._nodes, key, region)
+            self._rankings[key, region] = ranking
+        return ranking
 
 
 def ranked(nodes: NodesView, key: str, region: str | None) -> list[Member]:
-    """Return the live nodes in their order for a key, the home first.
+    """Rank the live nodes for a key; the first is the home.
 
-    Where no node of the region lives, all nodes are ranked: a home far away is better
-    than none.
+    If the region has no live node, the nodes of all regions are ranked, as a distant
+    home is better than none.
     """
     members = nodes.live(region) or nodes.live()
     by_name = {member.node: member for member in members}
