--- a/celerytrail/nodes/events.py
+++ b/celerytrail/nodes/events.py
@@ -1,4 +1,4 @@
-"""What the membership state machine tells its owner."""
+"""Events and datagrams that the membership state machine hands to its owner."""
 
 from __future__ import annotations
 
@@ -19,9 +19,9 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class MemberChanged:
-    """A member came, went, or changed its state.
+    """A member was added or its state or incarnation changed.
 
-    ``is_refuted`` says that a suspicion turned out to be false.
+    ``is_refuted`` is true when the change refutes a suspicion or a reported death.
     """
 
     member: Member
@@ -29,8 +29,8 @@
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
-class VersionHeard:
-    """A newer configuration version exists; ``member`` has it, where one is known."""
+class NewerVersion:
+    """A newer configuration version exists; ``member``, if known, has it."""
 
     version: int
     root: str
@@ -46,15 +46,15 @@
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
-class ExchangeWanted:
-    """The states of this node and a peer have differed from a peer's for too long."""
+class ExchangeNeeded:
+    """The digests of this node and a peer have differed for too long."""
 
     peer: Address
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
-class BadItem:
-    """An item from a peer was dropped."""
+class UpdateRejected:
+    """An update from a peer was dropped."""
 
     sender: str
     problem: str
@@ -63,11 +63,16 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Paused:
-    """The process itself stood still for ``seconds``."""
+    """The node's own process was paused for ``seconds``."""
 
     seconds: float
 
 
 Event = (
-    MemberChanged | VersionHeard | EndpointLeaving | ExchangeWanted | BadItem | Paused
+    MemberChanged
+    | NewerVersion
+    | EndpointLeaving
+    | ExchangeNeeded
+    | UpdateRejected
+    | Paused
 )
--- a/celerytrail/nodes/exchange.py
+++ b/celerytrail/nodes/exchange.py
@@ -1,4 +1,4 @@
-"""Whole exchanges of state between two nodes, over HTTP in JSON."""
+"""Anti-entropy exchanges of full state between two nodes, over HTTP in JSON."""
 
 from __future__ import annotations
 
@@ -17,27 +17,27 @@
 from ..types import Address
 from .membership import Membership
 from .signing import PeerKeys
-from .wire import StateExchange, decode_exchange, decode_json_item
+from .wire import StateExchange, decode_exchange, decode_json_update
 
 STATE_PATH = "/peer/v1/state"
-EXCHANGE_SECONDS = 2.0
+EXCHANGE_TIMEOUT_SECONDS = 2.0
 
 
 class Exchanger:
-    """Gives and takes whole states: at the start, and where gossip left a gap.
+    """Exchanges full states: at the start, and when gossip missed an update.
 
     Parameters
     ----------
     membership : Membership
-        Whose state it is.
+        The state machine whose state is exchanged.
     keys : PeerKeys
-        Sign and check requests.
+        Sign and verify requests.
     client : HttpClient
         Makes the exchanges.
     clock : Clock
-        Gives the state machine its time.
+        Provides the state machine's time.
     metrics : Metrics
-        Counts bad items.
+        Counts rejected input.
     """
 
     def __init__(
@@ -56,33 +56,33 @@
         self._metrics = metrics
 
     def add_routes(self, router: Router) -> None:
-        """Add the route that answers other nodes."""
-        router.add("POST", STATE_PATH, self._answer)
+        """Add the route of exchanges that other nodes start."""
+        router.add("POST", STATE_PATH, self._on_exchange)
 
     async def exchange(self, address: Address) -> bool:
-        """Exchange states with a node; returns whether that worked."""
+        """Exchange states with a node; returns whether it succeeded."""
         body = self._encode()
-        answered = await self._client.request(
+        result = await self._client.request(
             address,
             "POST",
             STATE_PATH,
             body=body,
             headers=self._keys.headers("POST", STATE_PATH, body),
-            deadline=asyncio.get_running_loop().time() + EXCHANGE_SECONDS,
+            deadline=asyncio.get_running_loop().time() + EXCHANGE_TIMEOUT_SECONDS,
         )
-        if isinstance(answered, Err):
+        if isinstance(result, Err):
             return False
-        res = answered.ok_value
+        res = result.ok_value
         if res.status != 200:
             log_message("nodes:exchange:refused", peer=str(address), status=res.status)
             return False
-        return self._take(res.body, str(address))
+        return self._apply(res.body, str(address))
 
-    async def _answer(self, req: Request, res: Responder, _: Params) -> None:
+    async def _on_exchange(self, req: Request, res: Responder, _: Params) -> None:
         if not self._keys.accepts(req):
             await refuse_signature(res, self._metrics)
             return
-        if not self._take(req.body, req.peer):
+        if not self._apply(req.body, req.peer):
             await send_error(
                 res, 400, "bad_state", place="body", message="not a state exchange"
             )
@@ -92,7 +92,8 @@
 
     def _encode(self) -> bytes:
         items = [
-            msgspec.Raw(msgspec.json.encode(item)) for item in self._membership.items()
+            msgspec.Raw(msgspec.json.encode(update))
+            for update in self._membership.snapshot()
         ]
         return msgspec.json.encode(
             StateExchange(
@@ -102,29 +103,29 @@
             )
         )
 
-    def _take(self, body: bytes, peer: str) -> bool:
+    def _apply(self, body: bytes, peer: str) -> bool:
         try:
             exchange = decode_exchange(body)
         except msgspec.DecodeError as exc:
-            self._bad(peer, "state", str(exc))
+            self._reject(peer, "state", str(exc))
             return False
         now, wall = self._clock.monotonic(), self._clock.wall()
         for raw in exchange.items:
             try:
-                item = decode_json_item(raw)
+                update = decode_json_update(raw)
             except msgspec.DecodeError as exc:
-                self._bad(peer, "item", str(exc))
+                self._reject(peer, "item", str(exc))
                 continue
-            self._membership.apply(item, exchange.sender, now, wall, exchange.sent_at)
+            self._membership.apply(update, exchange.sender, now, wall, exchange.sent_at)
         return True
 
-    def _bad(self, peer: str, problem: str, detail: str) -> None:
+    def _reject(self, peer: str, problem: str, detail: str) -> None:
         self._metrics.count("bad_input", peer="node", problem=problem)
         log_message("nodes:bad_input", peer=peer, problem=problem, detail=detail)
 
 
 async def refuse_signature(res: Responder, metrics: Metrics) -> None:
-    """Refuse a request that no accepted peer key signed."""
+    """Refuse a request without a signature by an accepted peer key."""
     metrics.count("bad_input", peer="node", problem="signature")
     await send_error(
         res,
--- a/celerytrail/nodes/gossip.py
+++ b/celerytrail/nodes/gossip.py
@@ -1,4 +1,4 @@
-"""The membership state machine on a UDP socket."""
+"""Runs the membership state machine on a UDP socket."""
 
 from __future__ import annotations
 
@@ -18,30 +18,30 @@
 from .signing import PeerKeys
 from .wire import MAX_DATAGRAM_BYTES, decode_datagram, encode_datagram
 
-# What IP and UDP add to each datagram, in bytes; it counts against the budget.
+# IP and UDP headers of a datagram; they count against the bandwidth budget.
 DATAGRAM_HEAD_BYTES = 28
-METRICS_SECONDS = 5.0
+METRICS_PERIOD_SECONDS = 5.0
 
 
 class Gossip(asyncio.DatagramProtocol):
-    """Carries datagrams between the state machine and the socket, and steps it.
+    """Connects the membership state machine to a socket and steps it on a timer.
 
     Parameters
     ----------
     membership : Membership
         The state machine.
     keys : PeerKeys
-        Sign and check datagrams.
+        Sign and verify datagrams.
     clock : Clock
-        Gives the state machine its time.
+        Provides the state machine's time.
     metrics : Metrics
-        Counts bytes, and datagrams that were dropped.
+        Counts bytes and dropped datagrams.
     tick_seconds : float
         Between two steps.
-    tell : callable
+    on_event : callable
         Called with each event.
     network : Network or None
-        Carries the datagrams; the machine's own by default.
+        Sends and receives the datagrams; the system's network by default.
     """
 
     def __init__(
@@ -52,7 +52,7 @@
         clock: Clock,
         metrics: Metrics,
         tick_seconds: float,
-        tell: Callable[[Event], None],
+        on_event: Callable[[Event], None],
         network: Network | None = None,
     ) -> None:
         self._network = network or SystemNetwork()
@@ -61,21 +61,21 @@
         self._clock = clock
         self._metrics = metrics
         self._tick_seconds = tick_seconds
-        self._tell = tell
+        self._on_event = on_event
         self._transport: asyncio.DatagramTransport | None = None
         self._timer: asyncio.TimerHandle | None = None
-        self._count_at = 0.0
+        self._next_count_at = 0.0
         self.n_sent_bytes = 0
         self.n_received_bytes = 0
-        self._n_counted = (0, 0)
+        self._n_counted_bytes = (0, 0)
 
     async def start(self, address: Address) -> None:
-        """Listen on an address and begin to step."""
+        """Listen on an address and start the timer."""
         await self._network.open_datagrams(lambda: self, address)
         self._tick()
 
     def stop(self) -> None:
-        """Send what is left and close."""
+        """Send the remaining datagrams and close the socket."""
         if self._timer is not None:
             self._timer.cancel()
             self._timer = None
@@ -85,31 +85,31 @@
             self._transport.close()
 
     def flush(self) -> None:
-        """Send what the state machine left to send, and tell what happened."""
+        """Send the state machine's datagrams and handle its events."""
         for outgoing in self._membership.take_outgoing():
             self._send(outgoing)
         for event in self._membership.take_events():
-            self._tell(event)
+            self._on_event(event)
 
-    # What the transport calls.
+    # Callbacks of the transport.
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Keep the transport."""
-        # The loop's own datagram transport is not a subclass of the abstract one.
+        """Store the transport."""
+        # The event loop's datagram transport is not a subclass of the abstract class.
         self._transport = cast(asyncio.DatagramTransport, transport)
 
     def datagram_received(self, data: bytes, addr: tuple[str, int]) -> None:
-        """Check a datagram and hand it to the state machine."""
+        """Verify a datagram and pass it to the state machine."""
         self.n_received_bytes += len(data) + DATAGRAM_HEAD_BYTES
         if len(data) > MAX_DATAGRAM_BYTES:
             self._drop("too_large")
             return
-        opened = self._keys.open(data)
-        if opened is None:
+        verified = self._keys.open(data)
+        if verified is None:
             self._drop("signature")
             return
         try:
-            datagram = decode_datagram(opened)
+            datagram = decode_datagram(verified)
         except msgspec.DecodeError:
             self._drop("datagram")
             return
@@ -119,9 +119,9 @@
         self.flush()
 
     def error_received(self, exc: Exception) -> None:
-        """Pass over what ICMP says: probes tell a lost peer by its silence."""
+        """Ignore ICMP errors, as probes detect an unreachable peer."""
 
-    # Inside.
+    # Internals.
 
     def _tick(self) -> None:
         now = self._clock.monotonic()
@@ -129,14 +129,14 @@
         self._timer = loop.call_later(self._tick_seconds, self._tick)
         self._membership.step(now, self._clock.wall())
         self.flush()
-        if now >= self._count_at:
-            self._count_at = now + METRICS_SECONDS
+        if now >= self._next_count_at:
+            self._next_count_at = now + METRICS_PERIOD_SECONDS
             self._count_bytes()
 
     def _send(self, outgoing: Outgoing) -> None:
         sealed = self._keys.seal(encode_datagram(outgoing.datagram))
         if len(sealed) > MAX_DATAGRAM_BYTES:
-            raise InternalError(f"a datagram of {len(sealed)} bytes was made")
+            raise InternalError(f"datagram of {len(sealed)} bytes is too large")
         if self._transport is None or self._transport.is_closing():
             return
         address = outgoing.address
@@ -147,8 +147,8 @@
         self._metrics.count("bad_input", peer="node", problem=problem)
 
     def _count_bytes(self) -> None:
-        sent, received = self._n_counted
-        self._n_counted = (self.n_sent_bytes, self.n_received_bytes)
+        sent, received = self._n_counted_bytes
+        self._n_counted_bytes = (self.n_sent_bytes, self.n_received_bytes)
         self._metrics.count("gossip_bytes", self.n_sent_bytes - sent, direction="out")
         self._metrics.count(
             "gossip_bytes", self.n_received_bytes - received, direction="in"
--- a/celerytrail/nodes/membership.py
+++ b/celerytrail/nodes/membership.py
@@ -1,7 +1,7 @@
-"""Membership by SWIM-style probing with piggybacked news; no I/O.
+"""Membership by SWIM-style probing with piggybacked updates; does no I/O.
 
-The owner steps it with the time, hands it what arrives, and sends and tells on what it
-leaves in `take_outgoing` and `take_events`.
+The owner calls `Membership.step` with the time, passes in received datagrams, sends
+what `take_outgoing` returns and handles what `take_events` returns.
 
 References
 ----------
@@ -19,39 +19,39 @@
 import msgspec
 
 from ..types import Address
-from .events import Event, ExchangeWanted, Outgoing, Paused
-from .knowledge import Knowledge
+from .events import Event, ExchangeNeeded, Outgoing, Paused
+from .knowledge import MembershipState
 from .member import Member, State
 from .mismatches import Mismatches
-from .probes import AskOthers, Failed, Ping, Probes
+from .probes import IndirectPing, Ping, ProbeFailed, Probes
 from .relays import RELAY_SECONDS, Relayed, Relays
 from .rings import Rings
-from .table import ENDPOINT_MEMORY_SECONDS
+from .table import ENDPOINT_RETENTION_SECONDS
 from .timing import Timing
 from .wire import (
     Datagram,
-    EndpointNews,
-    Item,
+    EndpointUpdate,
     Kind,
+    Update,
     VersionNews,
-    decode_item,
-    in_own_time,
+    decode_update,
     record_of,
+    to_local_time,
 )
 
-# Room for news beside the largest possible head in a datagram of 1,200 bytes.
-NEWS_BYTES = 800
+# Space for updates beside the largest possible header in a datagram of 1,200 bytes.
+MAX_UPDATES_BYTES = 800
 FANOUT = 2
 N_RELAYS = 3
-# As many items of recent news as surely fit beside the rest in one datagram.
-N_REPEATED = 3
-# Beyond this lateness of its own timer, in seconds, a node takes it that others have
-# begun to suspect it, and says at once that it lives.
-LATE_SECONDS = 0.5
+# Recent updates that are resent at a time; this many always fit into one datagram.
+N_RESENT_UPDATES = 3
+# After a longer pause of this process, others may have begun to suspect it, so it
+# announces a new incarnation at once.
+MAX_UNNOTICED_PAUSE_SECONDS = 0.5
 
 
 class Membership:
-    """What one node knows of all nodes.
+    """Holds one node's view of all nodes and produces its datagrams and events.
 
     Parameters
     ----------
@@ -60,7 +60,7 @@
     timing : Timing
         Periods and bounds.
     rng : random.Random
-        For targets and spread.
+        Draws targets and jitter.
     now, wall : float
         Monotonic and wall time of the start.
     """
@@ -76,13 +76,13 @@
     ) -> None:
         self._timing = timing
         self._rng = rng
-        self._known = Knowledge(
+        self._state = MembershipState(
             me=me,
             suspicion_seconds=timing.suspicion_seconds,
-            dead_seconds=timing.dead_seconds,
+            dead_retention_seconds=timing.dead_retention_seconds,
             recent_seconds=timing.recent_seconds,
         )
-        self._table = self._known.table
+        self._table = self._state.table
         self._rings = Rings(node=me.node)
         self._probes = Probes(timing=timing, rng=rng)
         self._outgoing: list[Outgoing] = []
@@ -90,26 +90,26 @@
         self._relays = Relays()
         self._mismatches = Mismatches()
         self._wall = wall
-        self._step_at = now
-        self._contact_at = now
-        self._exchange_at = now
+        self._last_step_at = now
+        self._next_contact_at = now
+        self._next_exchange_at = now
 
-    # What the owner reads.
+    # State and output for the owner.
 
     @property
     def me(self) -> Member:
-        """Return this node as it states itself."""
-        me, version = self._table.me, self._known.in_force.version
+        """Return this node as it announces itself."""
+        me, version = self._table.me, self._state.in_force.version
         return me if me.version == version else replace(me, version=version)
 
     def members(self) -> tuple[Member, ...]:
-        """Return all members that are not forgotten, this node first."""
+        """Return all members in the table, dead ones included; this node first."""
         return (self.me, *self._table.others.values())
 
     @property
     def newest(self) -> VersionNews:
-        """Return the newest configuration version heard of."""
-        return self._known.newest
+        """Return the newest configuration version that any node announced."""
+        return self._state.newest
 
     @property
     def digest(self) -> int:
@@ -123,99 +123,103 @@
         return {endpoint: leaving.at for endpoint, leaving in endpoints}
 
     def take_outgoing(self) -> list[Outgoing]:
-        """Return the datagrams to send, and forget them."""
+        """Return the datagrams to send, and clear the list."""
         outgoing, self._outgoing = self._outgoing, []
         return outgoing
 
     def take_events(self) -> list[Event]:
-        """Return what happened, and forget it."""
-        events, self._known.events = self._known.events, []
+        """Return the events since the last call, and clear the list."""
+        events, self._state.events = self._state.events, []
         return events
 
-    def items(self) -> list[Item]:
-        """Return all that this node knows, for a whole exchange of states."""
-        return self._known.items()
+    def snapshot(self) -> list[Update]:
+        """Return the full state, for an anti-entropy exchange."""
+        return self._state.snapshot()
 
-    # What the owner tells.
+    # Input from the owner.
 
     def set_candidates(self, addresses: Sequence[Address]) -> None:
         """Set addresses where nodes may be: seeds and the platform's VM list."""
         self._candidates = frozenset(addresses)
 
     def announce_version(self, version: int, root: str) -> None:
-        """Tell all that this node has a configuration version in force."""
-        self._known.announce_version(version, root)
+        """Announce that this node has a configuration version in force."""
+        self._state.announce_version(version, root)
 
     def announce_leaving(
         self, endpoint: str, at: float, now: float, wall: float
     ) -> None:
-        """Tell all that an endpoint leaves at ``at``, wall seconds."""
-        # What left long ago by its source's word is told as of now, or the others
-        # would take it for news that they have forgotten already.
-        since = at if at > wall - ENDPOINT_MEMORY_SECONDS / 2 else wall
-        news = EndpointNews(endpoint, since)
-        self._known.apply(news, self._table.me.node, now, wall)
+        """Announce that an endpoint leaves at ``at``, wall seconds."""
+        # A time long past is announced as the current time: the other nodes would
+        # drop the update as older than their retention of leaving endpoints.
+        since = at if at > wall - ENDPOINT_RETENTION_SECONDS / 2 else wall
+        update = EndpointUpdate(endpoint, since)
+        self._state.apply(update, self._table.me.node, now, wall)
 
     def leave(self) -> None:
-        """Tell all that this node leaves."""
-        self._known.restate(self._table.me.incarnation + 1, State.LEAVING)
+        """Announce that this node is leaving."""
+        self._state.announce_self(self._table.me.incarnation + 1, State.LEAVING)
 
     def set_serving(self, is_serving: bool) -> None:
-        """Tell all whether work may be sent to this node at this time."""
+        """Announce whether this node accepts work at present."""
         state = State.ALIVE if is_serving else State.LEAVING
         if self._table.me.state is not state:
-            self._known.restate(self._table.me.incarnation + 1, state)
+            self._state.announce_self(self._table.me.incarnation + 1, state)
 
     def depart(self) -> None:
-        """Tell all, as the last thing, that this node is gone."""
+        """Announce this node's own death, as its last update."""
         me = replace(self._table.me, state=State.DEAD)
         self._table.put(me)
-        self._known.news.put(("member", me.node), record_of(me))
+        self._state.queue.put(("member", me.node), record_of(me))
         for _ in range(N_RELAYS):
-            self._spread()
+            self._gossip()
 
     # Time.
 
     def step(self, now: float, wall: float) -> None:
         """Do what is due at ``now``; to be called every ``tick_seconds``."""
         self._wall = wall
-        late = now - self._step_at - self._timing.tick_seconds
-        self._step_at = now
-        if late > self._timing.tick_seconds:
-            self._forgive(late)
-        self._known.expire(now)
+        late_seconds = now - self._last_step_at - self._timing.tick_seconds
+        self._last_step_at = now
+        if late_seconds > self._timing.tick_seconds:
+            self._compensate_pause(late_seconds)
+        self._state.expire(now)
         self._relays.forget(now)
-        if self._known.has_changed:
-            self._known.has_changed = False
+        if self._state.has_changed:
+            self._state.has_changed = False
             self._mismatches.keep(self._table.others)
-            self._probes.watch(self._rings.watched(self._table.others.values()), now)
+            self._probes.set_targets(
+                self._rings.watched(self._table.others.values()), now
+            )
         for action in self._probes.step(now):
             match action:
                 case Ping(target=target, sequence=sequence):
                     self._ping(target, sequence)
-                case AskOthers(target=target, sequence=sequence):
-                    self._ask_others(target, sequence)
-                case Failed(target=target):
-                    self._known.suspect(target, now)
-        if now >= self._contact_at:
-            self._contact_at = now + self._timing.contact_seconds
+                case IndirectPing(target=target, sequence=sequence):
+                    self._request_indirect_pings(target, sequence)
+                case ProbeFailed(target=target):
+                    self._state.suspect(target, now)
+        if now >= self._next_contact_at:
+            self._next_contact_at = now + self._timing.contact_seconds
             self._contact()
-        if len(self._known.news):
-            self._spread()
+        if len(self._state.queue):
+            self._gossip()
 
-    def _forgive(self, late: float) -> None:
-        """Count time in which this process stood still against nobody else.
+    def _compensate_pause(self, seconds: float) -> None:
+        """Postpone the deadlines of probes and suspicions by a pause of this process.
 
-        A frozen process finds on its thawing that all its probes have timed out and
-        all its suspicions have run out. Were they believed, it would declare half the
-        nodes dead and tell the others so; one would see it in its log as a burst of
+        When a frozen process resumes, all its probes have timed out and all its
+        suspicions have expired. Without the shift it would declare about half of the
+        nodes dead and announce that to the others. In its log this shows as a burst of
         suspicions right after a pause.
         """
-        self._probes.forgive(late)
-        self._known.forgive(late)
-        if late > LATE_SECONDS:
-            self._known.events.append(Paused(seconds=late))
-            self._known.restate(self._table.me.incarnation + 1, self._table.me.state)
+        self._probes.postpone(seconds)
+        self._state.postpone_suspicions(seconds)
+        if seconds > MAX_UNNOTICED_PAUSE_SECONDS:
+            self._state.events.append(Paused(seconds=seconds))
+            self._state.announce_self(
+                self._table.me.incarnation + 1, self._table.me.state
+            )
 
     # Sending.
 
@@ -227,10 +231,10 @@
         *,
         sequence: int = 0,
         target: str = "",
-        first: Sequence[Item] = (),
+        direct: Sequence[Update] = (),
     ) -> None:
-        items = self._known.news.pack(first, NEWS_BYTES, self._table.n_live)
-        known = self._table.others.get(to)
+        items = self._state.queue.pack(direct, MAX_UPDATES_BYTES, self._table.n_live)
+        receiver = self._table.others.get(to)
         datagram = Datagram(
             kind=kind,
             sender=self._table.me.node,
@@ -238,10 +242,10 @@
             sequence=sequence,
             digest=self._table.digest,
             sent_at=self._wall,
-            in_force=self._known.in_force.version,
-            newest=self._known.newest.version,
-            your_incarnation=known.incarnation if known else 0,
-            your_state=known.state if known else State.ALIVE,
+            in_force=self._state.in_force.version,
+            newest=self._state.newest.version,
+            your_incarnation=receiver.incarnation if receiver else 0,
+            receiver_state=receiver.state if receiver else State.ALIVE,
             target=target,
             items=items,
         )
@@ -252,7 +256,7 @@
         if member is not None:
             self._send(member.peer, Kind.PING, target, sequence=sequence)
 
-    def _ask_others(self, target: str, sequence: int) -> None:
+    def _request_indirect_pings(self, target: str, sequence: int) -> None:
         for relay in self._sample(N_RELAYS, excluded=target):
             self._send(
                 relay.peer,
@@ -262,26 +266,25 @@
                 target=target,
             )
 
-    def _spread(self) -> None:
+    def _gossip(self) -> None:
         for member in self._sample(FANOUT):
-            if len(self._known.news):
+            if len(self._state.queue):
                 self._send(member.peer, Kind.NEWS, member.node)
 
     def _contact(self) -> None:
-        """Try one node that is dead or not known yet.
+        """Ping one node that is dead or unknown.
 
-        After a cut between regions both sides hold the other dead. Nobody would ever
-        speak to the other side again, and the system would stay in two halves, if the
-        dead were not tried at a low rate. The same way nodes that started with
-        different seeds find one another.
+        After a partition between regions each side holds the other dead. Without
+        occasional pings to dead members the two halves would never merge. The same
+        pings join groups of nodes that started with different seeds.
         """
-        choices = self._table.contacts(self._candidates)
+        choices = self._table.contact_targets(self._candidates)
         if not choices:
             return
         address, node = self._rng.choice(choices)
         sequence = self._probes.new_sequence()
         me = record_of(self._table.me)
-        self._send(address, Kind.PING, node, sequence=sequence, first=[me])
+        self._send(address, Kind.PING, node, sequence=sequence, direct=[me])
 
     def _sample(self, n_members: int, excluded: str = "") -> list[Member]:
         choices = [
@@ -294,66 +297,70 @@
     # Receiving.
 
     def apply(
-        self, item: Item, sender: str, now: float, wall: float, sent_at: float
+        self, update: Update, sender: str, now: float, wall: float, sent_at: float
     ) -> None:
-        """Take in one item that ``sender`` sent at ``sent_at`` on its wall clock."""
-        self._known.apply(in_own_time(item, wall - sent_at), sender, now, wall)
+        """Apply an update that ``sender`` sent at ``sent_at`` on its wall clock."""
+        self._state.apply(to_local_time(update, wall - sent_at), sender, now, wall)
 
     def receive(
         self, datagram: Datagram, source: Address, now: float, wall: float
     ) -> None:
-        """Take in a datagram that a peer's key signed."""
+        """Process a datagram whose peer signature has been verified."""
         self._wall = wall
         sender = datagram.sender
         if sender == self._table.me.node:
-            self._known.bad(sender, "own_name", "another process has this node's name")
+            self._state.reject(
+                sender, "own_name", "another process has this node's name"
+            )
             return
         for raw in datagram.items:
             try:
-                item = decode_item(raw)
+                update = decode_update(raw)
             except msgspec.DecodeError as exc:
-                self._known.bad(sender, "item", str(exc))
+                self._state.reject(sender, "item", str(exc))
                 continue
-            self.apply(item, sender, now, wall, datagram.sent_at)
-        first = self._answers(datagram)
-        first += self._hear(datagram, now)
+            self.apply(update, sender, now, wall, datagram.sent_at)
+        direct = self._corrections(datagram)
+        direct += self._process_header(datagram, now)
         match datagram.kind:
             case Kind.PING:
                 self._send(
-                    source, Kind.ACK, sender, sequence=datagram.sequence, first=first
+                    source, Kind.ACK, sender, sequence=datagram.sequence, direct=direct
                 )
                 return
             case Kind.PING_REQUEST:
-                self._relay(datagram, source, now)
+                self._relay_ping(datagram, source, now)
             case Kind.ACK:
-                self._acknowledged(datagram, now)
+                self._on_ack(datagram, now)
             case Kind.NEWS:
                 pass
-        if first:
-            self._send(source, Kind.NEWS, sender, first=first)
+        if direct:
+            self._send(source, Kind.NEWS, sender, direct=direct)
 
-    def _hear(self, datagram: Datagram, now: float) -> list[Item]:
+    def _process_header(self, datagram: Datagram, now: float) -> list[Update]:
         known = self._table.others.get(datagram.sender)
         if known is None or datagram.incarnation < known.incarnation:
             return []
-        self._probes.hear(datagram.sender)
+        self._probes.record_contact(datagram.sender)
         self._table.set_version(datagram.sender, datagram.in_force)
-        return self._compare(datagram, known, now)
+        return self._repair_mismatch(datagram, known, now)
 
-    def _answers(self, datagram: Datagram) -> list[Item]:
-        """Return what the sender has wrong or lacks, as far as its head shows."""
-        answers: list[Item] = []
+    def _corrections(self, datagram: Datagram) -> list[Update]:
+        """Return updates that the sender lacks, judging by its header."""
+        corrections: list[Update] = []
         if datagram.kind in (Kind.PING, Kind.ACK) and not datagram.target:
-            is_wrong = datagram.your_state >= State.SUSPECT
-            if is_wrong and datagram.your_incarnation >= self._table.me.incarnation:
-                self._known.restate(datagram.your_incarnation + 1, self._table.me.state)
+            is_suspected = datagram.receiver_state >= State.SUSPECT
+            if is_suspected and datagram.your_incarnation >= self._table.me.incarnation:
+                self._state.announce_self(
+                    datagram.your_incarnation + 1, self._table.me.state
+                )
             if datagram.your_incarnation < self._table.me.incarnation:
-                answers.append(record_of(self._table.me))
-        if datagram.newest < self._known.newest.version:
-            answers.append(self._known.newest)
-        return answers
+                corrections.append(record_of(self._table.me))
+        if datagram.newest < self._state.newest.version:
+            corrections.append(self._state.newest)
+        return corrections
 
-    def _relay(self, datagram: Datagram, source: Address, now: float) -> None:
+    def _relay_ping(self, datagram: Datagram, source: Address, now: float) -> None:
         target = self._table.others.get(datagram.target)
         if target is None or self._relays.is_full:
             return
@@ -367,10 +374,10 @@
         self._relays.put(sequence, relayed)
         self._send(target.peer, Kind.PING, target.node, sequence=sequence)
 
-    def _acknowledged(self, datagram: Datagram, now: float) -> None:
+    def _on_ack(self, datagram: Datagram, now: float) -> None:
         if datagram.target:
-            # A relay heard the target; that counts as if this node had.
-            self._probes.hear(datagram.target)
+            # A relayed acknowledgement counts like a direct answer of the target.
+            self._probes.record_contact(datagram.target)
             return
         relayed = self._relays.take(datagram.sequence)
         if relayed is not None:
@@ -382,19 +389,24 @@
                 target=datagram.sender,
             )
 
-    def _compare(self, datagram: Datagram, sender: Member, now: float) -> list[Item]:
-        """Mend what news has left apart, once digests have differed for a while.
+    def _repair_mismatch(
+        self, datagram: Datagram, sender: Member, now: float
+    ) -> list[Update]:
+        """Repair the difference from a peer whose digest has differed for a while.
 
-        Most often one of the two missed one item, so the recent ones are said again
-        first; where that doesn't help, the two exchange all they know.
+        Usually one of the two missed a single update, so recent updates are resent
+        first. If the digests still differ, the two exchange their full states.
         """
-        lasted = self._mismatches.lasted(
+        mismatch_seconds = self._mismatches.lasted(
             sender.node, self._table.digest, datagram.digest, now
         )
-        if lasted < self._timing.repeat_seconds:
+        if mismatch_seconds < self._timing.resend_recent_after_seconds:
             return []
-        if lasted >= self._timing.mismatch_seconds and now >= self._exchange_at:
+        if (
+            mismatch_seconds >= self._timing.exchange_after_seconds
+            and now >= self._next_exchange_at
+        ):
             self._mismatches.forget(sender.node)
-            self._exchange_at = now + self._timing.exchange_seconds
-            self._known.events.append(ExchangeWanted(peer=sender.peer))
-        return self._known.recent_items(N_REPEATED)
+            self._next_exchange_at = now + self._timing.exchange_interval_seconds
+            self._state.events.append(ExchangeNeeded(peer=sender.peer))
+        return self._state.recent_updates(N_RESENT_UPDATES)
--- a/celerytrail/nodes/news.py
+++ b/celerytrail/nodes/news.py
@@ -1,4 +1,4 @@
-"""The queue of news that a node still has to pass on."""
+"""The queue of updates that a node has yet to pass on."""
 
 from __future__ import annotations
 
@@ -8,69 +8,69 @@
 
 import msgspec
 
-from .wire import Item, encode_item
+from .wire import Update, encode_item
 
-# Each node passes an item on to ln(n) + 3 others. A node then misses it with
-# probability e^-(ln(n) + 3) = 0.05 / n, and what was missed is mended by the version
-# in every datagram and by the digests.
+# Each node sends an update to ln(n) + 3 others. A node then misses it with probability
+# e^-(ln(n) + 3) = 0.05 / n. The newest version in each datagram's header and the
+# comparison of digests repair a missed update.
 EXTRA_SENDS = 3
 
 
 @dataclass(kw_only=True, slots=True)
-class _Waiting:
+class _QueuedUpdate:
     raw: msgspec.Raw
     n_sent: int = 0
 
 
-class NewsQueue:
-    """News by subject; newer news of a subject replaces older."""
+class UpdateQueue:
+    """Holds one update for each subject; a newer one replaces the older."""
 
     def __init__(self) -> None:
-        self._waiting: dict[tuple[str, str], _Waiting] = {}
+        self._queued: dict[tuple[str, str], _QueuedUpdate] = {}
 
     def __len__(self) -> int:
-        return len(self._waiting)
+        return len(self._queued)
 
-    def put(self, subject: tuple[str, str], item: Item) -> None:
-        """Queue an item, in place of what was queued of its subject."""
-        self._waiting[subject] = _Waiting(raw=encode_item(item))
+    def put(self, subject: tuple[str, str], update: Update) -> None:
+        """Queue an update in place of any other of its subject."""
+        self._queued[subject] = _QueuedUpdate(raw=encode_item(update))
 
     def pack(
-        self, first: Sequence[Item], max_bytes: int, n_members: int
+        self, direct: Sequence[Update], max_bytes: int, n_members: int
     ) -> list[msgspec.Raw]:
-        """Return what goes into one datagram: items for its receiver, then news."""
+        """Return the updates for one datagram: those for its receiver, then queued."""
         packed = []
-        room = max_bytes
-        for item in first:
-            raw = encode_item(item)
-            if len(memoryview(raw)) <= room:
-                room -= len(memoryview(raw))
+        free_bytes = max_bytes
+        for update in direct:
+            raw = encode_item(update)
+            if len(memoryview(raw)) <= free_bytes:
+                free_bytes -= len(memoryview(raw))
                 packed.append(raw)
-        return packed + self.take(room, n_members)
+        return packed + self.take(free_bytes, n_members)
 
     def take(self, max_bytes: int, n_members: int) -> list[msgspec.Raw]:
-        """Return items for one datagram, the least often sent first.
+        """Return queued updates for one datagram, the least often sent first.
 
         Parameters
         ----------
         max_bytes : int
-            Room in the datagram.
+            Free space in the datagram.
         n_members : int
-            How many nodes there are; decides when an item has been sent enough.
+            Number of members; determines how often an update is sent.
         """
-        if not self._waiting:
+        if not self._queued:
             return []
         max_sends = math.ceil(math.log(n_members + 1)) + EXTRA_SENDS
         taken = []
-        room = max_bytes
-        ordered = sorted(self._waiting.items(), key=lambda pair: pair[1].n_sent)
-        for subject, waiting in ordered:
-            size = len(memoryview(waiting.raw))
-            if size > room:
+        free_bytes = max_bytes
+        ordered = sorted(self._queued.items(), key=lambda pair: pair[1].n_sent)
+        for subject, queued in ordered:
+            n_bytes = len(memoryview(queued.raw))
+            if n_bytes > free_bytes:
                 continue
-            room -= size
-            taken.append(waiting.raw)
-            waiting.n_sent += 1
-            if waiting.n_sent >= max_sends:
-                del self._waiting[subject]
+            free_bytes -= n_bytes
+            taken.append(queued.raw)
+            queued.n_sent += 1
+            if queued.n_sent >= max_sends:
+                del self._queued[subject]
         return taken
--- a/celerytrail/nodes/wire.py
+++ b/celerytrail/nodes/wire.py
@@ -1,4 +1,4 @@
-"""What the nodes' datagrams hold, and their msgpack form."""
+"""The contents of datagrams between nodes, and their msgpack encoding."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 MAX_DATAGRAM_BYTES = 1_200
 MAX_ITEM_BYTES = 400
-# Clocks that differ by less are taken to agree, in seconds.
+# Wall clocks that differ by less are treated as equal.
 CLOCK_TOLERANCE_SECONDS = 5.0
 
 Name = Annotated[str, msgspec.Meta(max_length=64)]
@@ -22,7 +22,7 @@
 
 
 class Kind(enum.IntEnum):
-    """What a datagram asks for."""
+    """The type of a datagram."""
 
     PING = 0
     ACK = 1
@@ -31,7 +31,7 @@
 
 
 class MemberRecord(msgspec.Struct, array_like=True, frozen=True, tag="m"):
-    """A whole member, as it states itself."""
+    """A full member record, as the member announces itself."""
 
     node: Name
     incarnation: Count
@@ -43,8 +43,8 @@
     region: Name
 
 
-class Claim(msgspec.Struct, array_like=True, frozen=True, tag="c"):
-    """What some node holds of a member that others know already."""
+class StateUpdate(msgspec.Struct, array_like=True, frozen=True, tag="c"):
+    """Another node's view of a member that its receivers already know."""
 
     node: Name
     incarnation: Count
@@ -52,21 +52,21 @@
 
 
 class VersionNews(msgspec.Struct, array_like=True, frozen=True, tag="v"):
-    """A configuration version was accepted; ``origin`` is a node that has it."""
+    """An accepted configuration version; ``origin`` is a node that has it."""
 
     version: Count
     root: Annotated[str, msgspec.Meta(max_length=128)]
     origin: Name
 
 
-class EndpointNews(msgspec.Struct, array_like=True, frozen=True, tag="e"):
-    """An endpoint leaves at ``at``, in wall seconds."""
+class EndpointUpdate(msgspec.Struct, array_like=True, frozen=True, tag="e"):
+    """A leaving endpoint; it leaves at ``at``, in wall seconds."""
 
     endpoint: Annotated[str, msgspec.Meta(max_length=128)]
     at: float
 
 
-Item = MemberRecord | Claim | VersionNews | EndpointNews
+Update = MemberRecord | StateUpdate | VersionNews | EndpointUpdate
 
 
 class Datagram(msgspec.Struct, array_like=True, frozen=True, kw_only=True):
@@ -75,27 +75,30 @@
     Parameters
     ----------
     kind : Kind
-        What it asks for.
+        The type.
     sender : str
         The sending node.
     incarnation : int
         The sender's incarnation.
     sequence : int
-        Joins an acknowledgement to its ping.
+        Matches an acknowledgement to its ping.
     digest : int
-        A hash of the members and leaving endpoints that the sender knows.
+        The sender's hash of all live members and leaving endpoints.
     in_force, newest : int
-        The configuration version the sender has in force, and the newest it heard of.
+        The configuration version that the sender has in force, and the newest that it
+        knows of.
     sent_at : float
-        The sender's wall time, by which its times are read.
+        The sender's wall time; the receiver corrects the times in the updates by it.
     your_incarnation : int
-        The incarnation in which the sender knows the receiver; 0 for not at all.
-    your_state : State
-        The state in which the sender holds the receiver.
+        The receiver's incarnation in the sender's table; 0 if the receiver is unknown.
+    receiver_state : State
+        The receiver's state in the sender's table.
     target : str
-        Whom a ping request is about, or who stands behind a relayed acknowledgement.
+        In a ping request the node to ping, in a relayed acknowledgement the node that
+        answered; empty otherwise.
     items : list of msgspec.Raw
-        News, each encoded by itself, so that one bad item does not take the rest.
+        Updates. Each is encoded by itself, so that one that can't be decoded doesn't
+        invalidate the others.
     """
 
     kind: Kind
@@ -107,13 +110,13 @@
     newest: Count = 0
     sent_at: float = 0.0
     your_incarnation: Count = 0
-    your_state: State = State.ALIVE
+    receiver_state: State = State.ALIVE
     target: Name = ""
     items: list[msgspec.Raw] = msgspec.field(default_factory=list)
 
 
 class StateExchange(msgspec.Struct, frozen=True, kw_only=True):
-    """All that a node knows, as exchanged over HTTP in JSON."""
+    """A node's full state, as exchanged over HTTP in JSON."""
 
     sender: Name
     sent_at: float
@@ -122,74 +125,78 @@
 
 _encoder = msgspec.msgpack.Encoder()
 _datagram_decoder = msgspec.msgpack.Decoder(Datagram)
-_item_decoder = msgspec.msgpack.Decoder(Item)
-_json_item_decoder = msgspec.json.Decoder(Item)
+_update_decoder = msgspec.msgpack.Decoder(Update)
+_json_update_decoder = msgspec.json.Decoder(Update)
 _exchange_decoder = msgspec.json.Decoder(StateExchange)
 
 
 def encode_datagram(datagram: Datagram) -> bytes:
-    """Return a datagram's msgpack."""
+    """Encode a datagram in msgpack."""
     return _encoder.encode(datagram)
 
 
 def decode_datagram(data: bytes) -> Datagram:
-    """Read a datagram's msgpack.
+    """Decode a datagram from msgpack.
 
     Raises
     ------
     msgspec.DecodeError
-        When it is not a datagram; the message names the place.
+        If the data is not a datagram; the message names the place.
     """
     return _datagram_decoder.decode(data)
 
 
-def encode_item(item: Item) -> msgspec.Raw:
-    """Return one item's msgpack, to be put into a datagram as it is."""
-    return msgspec.Raw(_encoder.encode(item))
+def encode_item(update: Update) -> msgspec.Raw:
+    """Encode one update in msgpack, for use in a datagram without another encoding."""
+    return msgspec.Raw(_encoder.encode(update))
 
 
-def decode_item(raw: msgspec.Raw) -> Item:
-    """Read one item of a datagram; raises ``msgspec.DecodeError``."""
+def decode_update(raw: msgspec.Raw) -> Update:
+    """Decode one update of a datagram; raises ``msgspec.DecodeError``."""
     _check_size(raw)
-    return _checked(_item_decoder.decode(raw))
+    return _require_finite_time(_update_decoder.decode(raw))
 
 
-def decode_json_item(raw: msgspec.Raw) -> Item:
-    """Read one item of a state exchange; raises ``msgspec.DecodeError``."""
+def decode_json_update(raw: msgspec.Raw) -> Update:
+    """Decode one update of a state exchange; raises ``msgspec.DecodeError``."""
     _check_size(raw)
-    return _checked(_json_item_decoder.decode(raw))
+    return _require_finite_time(_json_update_decoder.decode(raw))
 
 
 def decode_exchange(data: bytes) -> StateExchange:
-    """Read a state exchange; raises ``msgspec.DecodeError``."""
+    """Decode a state exchange; raises ``msgspec.DecodeError``."""
     return _exchange_decoder.decode(data)
 
 
-def in_own_time(item: Item, offset: float) -> Item:
-    """Turn an item's times on the sender's wall clock into those on our own.
+def to_local_time(update: Update, offset_seconds: float) -> Update:
+    """Convert an update's times from the sender's wall clock to the local one.
 
     Parameters
     ----------
-    item : Item
-        What was received.
-    offset : float
-        Our wall time less the sender's, in seconds. Small ones are let be, so that
-        good clocks hand a time on unchanged.
+    update : Update
+        The received update.
+    offset_seconds : float
+        Local wall time less the sender's. An offset within the tolerance is ignored,
+        so that nodes with accurate clocks pass on a time unchanged.
 
     Notes
     -----
-    Were times taken as they stand, a node whose clock is an hour wrong would hold
-    every leaving endpoint for long gone and send it work, and its own word on who
-    leaves would be dropped everywhere.
+    Without the conversion, a node whose clock is off by an hour would treat every
+    leaving endpoint as long expired and send it work, and all other nodes would drop
+    its own updates about leaving endpoints.
     """
-    is_apart = not -CLOCK_TOLERANCE_SECONDS < offset < CLOCK_TOLERANCE_SECONDS
-    if isinstance(item, EndpointNews) and is_apart and math.isfinite(offset):
-        return EndpointNews(item.endpoint, item.at + offset)
-    return item
+    is_offset = not -CLOCK_TOLERANCE_SECONDS < offset_seconds < CLOCK_TOLERANCE_SECONDS
+    if (
+        isinstance(update, EndpointUpdate)
+        and is_offset
+        and math.isfinite(offset_seconds)
+    ):
+        return EndpointUpdate(update.endpoint, update.at + offset_seconds)
+    return update
 
 
 def record_of(member: Member) -> MemberRecord:
-    """Return a member's form on the wire."""
+    """Convert a member to its wire record."""
     return MemberRecord(
         node=member.node,
         incarnation=member.incarnation,
@@ -203,7 +210,7 @@
 
 
 def member_of(record: MemberRecord) -> Member:
-    """Read a member's form on the wire; raises ``ValueError`` for a bad address."""
+    """Convert a wire record to a member; raises ``ValueError`` for a bad address."""
     return Member(
         node=record.node,
         incarnation=record.incarnation,
@@ -217,14 +224,15 @@
 
 
 def _check_size(raw: msgspec.Raw) -> None:
-    # A larger item would fit no datagram beside others and so could not be passed on.
+    # A larger update might not fit into a datagram beside others, so it could not be
+    # passed on.
     if len(memoryview(raw)) > MAX_ITEM_BYTES:
         raise msgspec.ValidationError(f"an item is over {MAX_ITEM_BYTES} bytes")
 
 
-def _checked(item: Item) -> Item:
-    # NaN compares false with everything, so one NaN time would never be replaced
-    # by an earlier one and the endpoint's leaving could not be told any more.
-    if isinstance(item, EndpointNews) and not math.isfinite(item.at):
+def _require_finite_time(update: Update) -> Update:
+    # NaN compares false with everything. A leaving endpoint with that time could never
+    # be updated to an earlier one.
+    if isinstance(update, EndpointUpdate) and not math.isfinite(update.at):
         raise msgspec.ValidationError("expected a finite time - at `$[2]`")
-    return item
+    return update
--- a/tests/membershiprig.py
+++ b/tests/membershiprig.py
@@ -1,11 +1,11 @@
-"""A group of state machines on a clock that tests move."""
+"""A group of membership state machines on a manual clock."""
 
 from __future__ import annotations
 
 import random
 
 from celerytrail.clock import ManualClock
-from celerytrail.nodes.events import ExchangeWanted, MemberChanged
+from celerytrail.nodes.events import ExchangeNeeded, MemberChanged
 from celerytrail.nodes.member import Member, State
 from celerytrail.nodes.membership import Membership
 from celerytrail.nodes.timing import Timing
@@ -29,16 +29,16 @@
 
 
 class Group:
-    """A few state machines, with a fake in place of the datagrams between them."""
+    """Connects membership state machines by simulated datagrams."""
 
-    def __init__(self, n_nodes: int, *, seed: int = 1, drop: float = 0.0):
+    def __init__(self, n_nodes: int, *, seed: int = 1, drop_rate: float = 0.0):
         self.clock = ManualClock(start=100.0, wall_offset=1_700_000_000.0)
         self.rng = random.Random(seed)
-        self.drop = drop
+        self.drop_rate = drop_rate
         self.events: dict[str, list] = {}
         self.stopped: set[str] = set()
-        self.cut: frozenset[str] = frozenset()
-        self.offsets: dict[str, float] = {}
+        self.partition: frozenset[str] = frozenset()
+        self.wall_offsets: dict[str, float] = {}
         self.n_bytes = 0
         self.nodes: dict[str, Membership] = {}
         self.by_address: dict[Address, Membership] = {}
@@ -63,14 +63,14 @@
         return node
 
     def wall_at(self, name: str) -> float:
-        return self.clock.wall() + self.offsets.get(name, 0.0)
+        return self.clock.wall() + self.wall_offsets.get(name, 0.0)
 
-    def exchange(self, one: Membership, other: Membership) -> None:
+    def exchange(self, first: Membership, second: Membership) -> None:
         now, wall = self.clock.monotonic(), self.clock.wall()
-        for item in one.items():
-            other.apply(item, one.me.node, now, wall, wall)
-        for item in other.items():
-            one.apply(item, other.me.node, now, wall, wall)
+        for update in first.snapshot():
+            second.apply(update, first.me.node, now, wall, wall)
+        for update in second.snapshot():
+            first.apply(update, second.me.node, now, wall, wall)
 
     def run(self, seconds: float) -> None:
         for _ in range(round(seconds / TIMING.tick_seconds)):
@@ -83,7 +83,7 @@
     def run_until(self, condition, seconds: float) -> float:
         started_at = self.clock.time
         while not condition():
-            assert self.clock.time < started_at + seconds, "it never came about"
+            assert self.clock.time < started_at + seconds, "condition not met in time"
             self.run(TIMING.tick_seconds)
         return self.clock.time - started_at
 
@@ -96,23 +96,23 @@
             if not batch:
                 break
             for node, outgoing in batch:
-                self._deliver_one(node, outgoing)
+                self._deliver_datagram(node, outgoing)
         for name, node in self.nodes.items():
             for event in node.take_events():
                 self.events[name].append(event)
-                if isinstance(event, ExchangeWanted):
+                if isinstance(event, ExchangeNeeded):
                     self.exchange(node, self.by_address[event.peer])
 
-    def _deliver_one(self, sender: Membership, outgoing) -> None:
+    def _deliver_datagram(self, sender: Membership, outgoing) -> None:
         data = encode_datagram(outgoing.datagram)
         assert len(data) + 16 <= MAX_DATAGRAM_BYTES
         self.n_bytes += len(data) + 16 + 28
         target = self.by_address.get(outgoing.address)
         if target is None or target.me.node in self.stopped:
             return
-        if (sender.me.node in self.cut) != (target.me.node in self.cut):
+        if (sender.me.node in self.partition) != (target.me.node in self.partition):
             return
-        if self.rng.random() < self.drop:
+        if self.rng.random() < self.drop_rate:
             return
         target.receive(
             decode_datagram(data),
@@ -121,31 +121,31 @@
             self.wall_at(target.me.node),
         )
 
-    def state_at(self, holder: str, node: str) -> State | None:
-        for member in self.nodes[holder].members():
+    def state_at(self, observer: str, node: str) -> State | None:
+        for member in self.nodes[observer].members():
             if member.node == node:
                 return member.state
         return None
 
-    def all_hold(self, node: str, *states: State) -> bool:
-        holders = [name for name in self.nodes if name not in self.stopped]
-        return all(self.state_at(holder, node) in states for holder in holders)
+    def all_see(self, node: str, *states: State) -> bool:
+        observers = [name for name in self.nodes if name not in self.stopped]
+        return all(self.state_at(observer, node) in states for observer in observers)
 
-    def is_whole(self) -> bool:
+    def all_alive(self) -> bool:
         names = [name for name in self.nodes if name not in self.stopped]
-        return all(self.all_hold(name, State.ALIVE) for name in names)
+        return all(self.all_see(name, State.ALIVE) for name in names)
 
-    def told(self, kind: type) -> list:
+    def events_of(self, event_type: type) -> list:
         return [
             event
-            for told in self.events.values()
-            for event in told
-            if isinstance(event, kind)
+            for events in self.events.values()
+            for event in events
+            if isinstance(event, event_type)
         ]
 
-    def false_suspicions(self) -> int:
+    def n_false_suspicions(self) -> int:
         return sum(
             event.member.state is State.SUSPECT
             and event.member.node not in self.stopped
-            for event in self.told(MemberChanged)
+            for event in self.events_of(MemberChanged)
         )
--- a/tests/test_peer_leaving.py
+++ b/tests/test_peer_leaving.py
@@ -1,4 +1,4 @@
-"""What one node alone knows of who leaves holds at the others."""
+"""A leaving endpoint that only one node can observe is known to all nodes."""
 
 from __future__ import annotations
 
@@ -18,11 +18,11 @@
 
 
 class FakeNodes:
-    """Hands news straight to the other node, where it is news there."""
+    """Passes updates directly to the other node, which drops those it knows."""
 
     def __init__(self, clock):
         self.clock = clock
-        self.other = None
+        self.peer_nodes = None
         self.callbacks = []
         self.table = MemberTable(
             me=Member(node="n", incarnation=1, caller=ADDRESS, peer=ADDRESS)
@@ -32,10 +32,10 @@
         self.callbacks.append(callback)
 
     def announce_leaving(self, endpoint, at):
-        for nodes in (self, self.other):
-            nodes.hear(endpoint, at)
+        for nodes in (self, self.peer_nodes):
+            nodes.receive(endpoint, at)
 
-    def hear(self, endpoint, at):
+    def receive(self, endpoint, at):
         now, wall = self.clock.monotonic(), self.clock.wall()
         if self.table.put_endpoint(endpoint, at, now, wall):
             for callback in self.callbacks:
@@ -43,23 +43,23 @@
 
 
 @pytest.mark.looptime
-class TestOneSourceAlone:
-    async def test_long_leaving_is_not_forgotten(self):
-        """One node alone can read the VM list, and the endpoint takes an hour to
-        leave. Were the others told only once, they would send it new work after some
-        minutes. When the list takes its word back, they follow.
+class TestSingleSource:
+    async def test_long_departure_does_not_expire(self):
+        """Only one node can read the VM list, and the endpoint takes an hour to leave.
+        If it were announced only once, the others would send it new work after some
+        minutes. When the list withdraws the departure, the others follow.
         """
         clock = LoopClock()
         first, second = (
             SimpleNamespace(clock=clock, leaving=LeavingBoard()) for _ in range(2)
         )
-        one, other = FakeNodes(clock), FakeNodes(clock)
-        one.other, other.other = other, one
-        wiring.share_leaving(first, one)
-        wiring.share_leaving(second, other)
+        first_nodes, second_nodes = FakeNodes(clock), FakeNodes(clock)
+        first_nodes.peer_nodes, second_nodes.peer_nodes = second_nodes, first_nodes
+        wiring.share_leaving(first, first_nodes)
+        wiring.share_leaving(second, second_nodes)
         tasks = [
             asyncio.create_task(wiring.keep_telling(base, nodes))
-            for base, nodes in ((first, one), (second, other))
+            for base, nodes in ((first, first_nodes), (second, second_nodes))
         ]
         first.leaving.note("engine-1", "vm_list", clock.wall())
         for _ in range(360):
