--- a/celerytrail/node.py
+++ b/celerytrail/node.py
@@ -1,4 +1,4 @@
-"""The node: the object that an entry VM's daemon runs, and that a library user gets."""
+"""The node: the process that serves callers on an entry VM."""
 
 from __future__ import annotations
 
@@ -29,24 +29,25 @@
 from .types import Address
 from .vmwatch import VmWatch
 
-# How long a leaving node tries to write outcomes down, in seconds. While the platform
-# is down longer, the claims stay and are answered as unknown, never run again.
-RECORD_SECONDS = 120.0
+# How long a draining node retries writing outcomes to the store. If the platform is
+# down for longer, the claims stay open: their calls are answered as unknown and are
+# never run again.
+OUTCOME_DRAIN_SECONDS = 120.0
 
 
 class Node:
-    """One entry VM's part of the system.
+    """Serves callers on one entry VM, together with the other nodes.
 
     Parameters
     ----------
     cfg : NodeSettings
-        Its settings.
+        The node's settings.
     clock : Clock or None
-        Where it learns the time; the machine's clocks by default.
+        The source of time; the machine's clocks by default.
     rng : random.Random or None
-        Its source of jitter and of ids.
+        The source of jitter and ids.
     network : Network or None
-        What carries its connections; the machine's own by default.
+        Opens connections and listens for them; the machine's network by default.
     """
 
     def __init__(
@@ -62,7 +63,7 @@
         configuration = Configuration()
         node_id = f"{cfg.vm}-{rng.getrandbits(32):08x}"
         self.cfg = cfg
-        self.base = wiring.Base(
+        self.base = wiring.NodeContext(
             cfg=cfg,
             node_id=node_id,
             clock=clock or SystemClock(),
@@ -102,8 +103,8 @@
         self.admitter = wiring.make_admitter(self.base, self.nodes, self.homes)
         self.limits = wiring.make_limits(self.base, self.nodes)
         self._reconciler = wiring.make_reconciler(self.base, self._platform, self.homes)
-        limited = LimitedAdmitter(inner=self.admitter, limits=self.limits)
-        self.callers = wiring.make_callers(self.base, engines, limited)
+        limited_admitter = LimitedAdmitter(inner=self.admitter, limits=self.limits)
+        self.callers = wiring.make_callers(self.base, engines, limited_admitter)
         self.services = wiring.make_services(self.base, self._platform)
         self.status = wiring.make_status(self.base, self.nodes, self.sync)
         self.status.add_part("homes", self.homes.describe)
@@ -111,7 +112,7 @@
         self._add_routes()
 
     async def start(self) -> None:
-        """Join the others and serve."""
+        """Join the other nodes and start to serve callers."""
         await self._peer_server.start(self.cfg.peer_listen)
         await self.nodes.start()
         await self.sync.start()
@@ -119,11 +120,11 @@
         await self.admitter.start()
         await self.limits.start()
         self.services.directory.start()
-        self._run(self._enter())
-        self._run(self._vms.run())
-        self._run(wiring.keep_telling(self.base, self.nodes))
-        self._run(self._reconciler.run())
-        self._run(self.services.sweeper.run())
+        self._start_task(self._register())
+        self._start_task(self._vms.run())
+        self._start_task(wiring.keep_telling(self.base, self.nodes))
+        self._start_task(self._reconciler.run())
+        self._start_task(self.services.sweeper.run())
         await self._caller_server.start(self.cfg.caller_listen)
         log_message(
             "node:started", node=self.base.node_id, callers=str(self.caller_address)
@@ -131,27 +132,27 @@
 
     @property
     def caller_address(self) -> Address:
-        """Return the address at which callers find this node."""
+        """Return the address at which callers reach this node."""
         return self.cfg.caller_listen
 
     async def leave(self) -> None:
-        """Stop gracefully: cut nothing, however long that takes.
+        """Drain and stop; requests in progress finish, however long they take.
 
-        First all are told to name this node to callers no more. Callers keep address
-        answers for a while, so it goes on serving new connections until the last
-        answer that named it has expired; were it to close earlier, they would be
-        refused at an address they were told to use. Then what is in progress ends.
+        The other nodes first stop including this node in address answers. Callers
+        cache those answers, so new connections are served until the last answer with
+        this node's address has expired; closing earlier would refuse callers at an
+        address that is still valid to them. Then requests in progress finish.
         """
         self.is_leaving = True
         log_message("node:leaving", node=self.base.node_id)
-        open_until = await self.nodes.leave()
-        await asyncio.sleep(max(0.0, open_until - self.base.clock.monotonic()))
+        close_at = await self.nodes.leave()
+        await asyncio.sleep(max(0.0, close_at - self.base.clock.monotonic()))
         log_message("node:draining", n_in_progress=self._caller_server.n_busy)
         await self._caller_server.drain()
-        # A call's caller may have gone while the call goes on, and its outcome may
-        # still wait to be written; both end before this process does.
-        drained_by = self.base.clock.monotonic() + RECORD_SECONDS
-        await self.services.calls.drain(drained_by)
+        # A call can continue after its caller has disconnected, and its outcome may
+        # not be written yet; the process waits for both.
+        drain_deadline = self.base.clock.monotonic() + OUTCOME_DRAIN_SECONDS
+        await self.services.calls.drain(drain_deadline)
         await self._platform.node_rows.leave()
         await self._stop_parts()
         await self._peer_server.drain()
@@ -159,7 +160,7 @@
         log_message("node:left", node=self.base.node_id)
 
     async def close(self) -> None:
-        """Stop at once, cutting what is in progress; for tests."""
+        """Stop at once and abort requests in progress; for tests."""
         await self._caller_server.close()
         await self._stop_parts()
         await self._peer_server.close()
@@ -179,8 +180,8 @@
         await self.sync.stop()
         await self.nodes.stop()
 
-    async def _enter(self) -> None:
-        """Enter this node in the store, and learn from there where others may be."""
+    async def _register(self) -> None:
+        """Write this node's row to the store and read the other nodes' addresses."""
         self.nodes.set_listed(await self._platform.node_rows.enter())
 
     def _describe_work(self) -> dict[str, object]:
@@ -190,28 +191,28 @@
             "n_records_waiting": self.services.recorder.n_pending,
         }
 
-    def _run(self, work: Coroutine[object, object, None]) -> None:
-        self._tasks.append(asyncio.get_running_loop().create_task(work))
+    def _start_task(self, coroutine: Coroutine[object, object, None]) -> None:
+        self._tasks.append(asyncio.get_running_loop().create_task(coroutine))
 
     def _add_routes(self) -> None:
         for router in (self._caller_router, self._peer_router):
-            router.add("GET", "/healthz", self._health)
-            router.add("GET", "/readyz", self._ready)
+            router.add("GET", "/healthz", self._on_health)
+            router.add("GET", "/readyz", self._on_ready)
         self.callers.add_routes(self._caller_router)
         self.services.api.add_routes(self._caller_router)
         self.homes.add_routes(self._peer_router)
         self.limits.add_routes(self._peer_router)
         wiring.make_addresses(self.base, self.nodes).add_routes(self._caller_router)
-        self._peer_router.add("GET", "/metrics", self._metrics)
+        self._peer_router.add("GET", "/metrics", self._on_metrics)
         self.nodes.add_routes(self._peer_router)
         self.sync.add_routes(self._peer_router)
         self.status.add_routes(self._peer_router)
 
-    async def _health(self, req: Request, res: Responder, params: Params) -> None:
+    async def _on_health(self, req: Request, res: Responder, params: Params) -> None:
         await res.send_json(200, {"status": "alive"})
 
-    async def _ready(self, req: Request, res: Responder, params: Params) -> None:
-        """Say whether callers should be sent here: not before there is a document."""
+    async def _on_ready(self, req: Request, res: Responder, params: Params) -> None:
+        """Report readiness: a document is in force and the node is not leaving."""
         version = self.sync.version
         is_ready = version > 0 and not self.is_leaving
         await res.send_json(
@@ -219,7 +220,7 @@
             {"ready": is_ready, "version": version, "leaving": self.is_leaving},
         )
 
-    async def _metrics(self, req: Request, res: Responder, params: Params) -> None:
+    async def _on_metrics(self, req: Request, res: Responder, params: Params) -> None:
         self.callers.flush_metrics()
         self.nodes.count_members()
         self.base.metrics.set("configuration_version", float(self.sync.version))
@@ -228,28 +229,28 @@
 
 
 def run_node(cfg: NodeSettings) -> None:
-    """Run a node until it is told to stop and has finished what it had."""
+    """Run a node until a signal stops it and its requests have finished."""
     start_logging(cfg.vm, None if cfg.log_file == "-" else cfg.log_file)
     asyncio.run(_run(cfg))
 
 
 async def _run(cfg: NodeSettings) -> None:
     node = Node(cfg=cfg)
-    told_to_stop = asyncio.Event()
+    stop_requested = asyncio.Event()
     loop = asyncio.get_running_loop()
-    for number in (signal.SIGTERM, signal.SIGINT):
-        loop.add_signal_handler(number, _stop, told_to_stop, number)
+    for signum in (signal.SIGTERM, signal.SIGINT):
+        loop.add_signal_handler(signum, _on_signal, stop_requested, signum)
     await node.start()
     print(f"listening {node.caller_address} pid {os.getpid()}", flush=True)
-    await told_to_stop.wait()
+    await stop_requested.wait()
     await node.leave()
 
 
-def _stop(told_to_stop: asyncio.Event, number: int) -> None:
-    """Begin the graceful stop; a second signal changes nothing.
+def _on_signal(stop_requested: asyncio.Event, signum: int) -> None:
+    """Start the graceful stop; further signals are only logged.
 
-    A platform that sends the signal again because the stop takes long would otherwise
-    cut the drafts that the first one promised to finish.
+    A platform may repeat the signal when the stop takes long. If that forced an
+    immediate stop, it would abort the generations that are being drained.
     """
-    log_message("node:signal", number=number, again=told_to_stop.is_set())
-    told_to_stop.set()
+    log_message("node:signal", number=signum, again=stop_requested.is_set())
+    stop_requested.set()
--- a/celerytrail/wiring.py
+++ b/celerytrail/wiring.py
@@ -1,4 +1,4 @@
-"""Puts a node's parts together; nothing here decides anything."""
+"""Construction of a node's components; contains no decision logic."""
 
 from __future__ import annotations
 
@@ -53,19 +53,19 @@
 from .settings import NodeSettings
 from .status import NodeStatus
 
-MILLISECONDS = 1_000
-# How long gossip's word that an endpoint leaves holds beyond its time, in seconds;
-# after that an endpoint of the same name may be a new one.
+MILLISECONDS_PER_SECOND = 1_000
+# How long a gossiped announcement that an endpoint leaves stays valid after its time;
+# later, an endpoint of the same name may be a new one.
 GOSSIP_WORD_SECONDS = 300.0
-# How often a node says again what it knows by itself of who leaves, in seconds: more
-# than `SAME_LEAVING_SECONDS` apart, so that it is news, and twice before the word of
-# the last time runs out.
-RETELL_SECONDS = 140.0
+# Interval at which a node repeats announcements from its own sources: longer than
+# `SAME_LEAVING_SECONDS`, so that a repeat counts as new, and short enough for two
+# repeats before the previous announcement expires.
+REANNOUNCE_SECONDS = 140.0
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
-class Base:
-    """What all parts of a node share."""
+class NodeContext:
+    """Holds what all components of a node share."""
 
     cfg: NodeSettings
     node_id: str
@@ -82,7 +82,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Platform:
-    """The platform's peers."""
+    """Holds the clients of the platform's services."""
 
     table: Table
     objects: ObjectStore
@@ -90,14 +90,14 @@
     node_rows: NodeRows
 
 
-def connect_platform(base: Base) -> Platform:
-    """Make the clients of the platform; nothing is sent yet."""
+def connect_platform(context: NodeContext) -> Platform:
+    """Create the clients of the platform; nothing is sent yet."""
     exchanger = PlatformClient(
-        addresses=base.cfg.platform,
-        http=base.client,
-        clock=base.clock,
-        rng=base.rng,
-        metrics=base.metrics,
+        addresses=context.cfg.platform,
+        http=context.client,
+        clock=context.clock,
+        rng=context.rng,
+        metrics=context.metrics,
     )
     rows = PlatformRows(exchanger=exchanger)
     return Platform(
@@ -106,20 +106,20 @@
         vms=StoreVmList(rows=rows),
         node_rows=NodeRows(
             rows=rows,
-            caller=base.cfg.caller_listen,
-            peer=base.cfg.peer_listen,
-            rng=base.rng,
+            caller=context.cfg.caller_listen,
+            peer=context.cfg.peer_listen,
+            rng=context.rng,
         ),
     )
 
 
-def make_nodes(base: Base) -> Nodes:
-    """Make what finds and watches the other nodes."""
-    cfg = base.cfg
+def make_nodes(context: NodeContext) -> Nodes:
+    """Create the membership and gossip with the other nodes."""
+    cfg = context.cfg
     me = Member(
-        node=base.node_id,
-        # New at each start, and higher than anything said of an earlier life.
-        incarnation=int(base.clock.wall() * MILLISECONDS),
+        node=context.node_id,
+        # Higher at each start, so it supersedes updates about earlier incarnations.
+        incarnation=int(context.clock.wall() * MILLISECONDS_PER_SECOND),
         caller=cfg.caller_listen,
         peer=cfg.peer_listen,
         vm=cfg.vm,
@@ -128,39 +128,39 @@
     )
     return Nodes(
         me=me,
-        keys=base.keys,
-        client=base.client,
-        clock=base.clock,
-        metrics=base.metrics,
-        rng=base.rng,
+        keys=context.keys,
+        client=context.client,
+        clock=context.clock,
+        metrics=context.metrics,
+        rng=context.rng,
         seeds=cfg.seeds,
         answer_seconds=cfg.answer_seconds,
-        network=base.network,
+        network=context.network,
     )
 
 
-def make_sync(base: Base, platform: Platform, nodes: Nodes) -> ConfigSync:
-    """Make what keeps the configuration at the newest accepted version."""
-    freeze_documents(base.configuration)
+def make_sync(context: NodeContext, platform: Platform, nodes: Nodes) -> ConfigSync:
+    """Create the component that keeps the newest accepted document in force."""
+    freeze_documents(context.configuration)
     fetcher = ObjectFetcher(
         objects=platform.objects,
-        client=base.client,
-        auth=base.keys,
-        peers=lambda: [m.peer for m in nodes.live() if m.node != base.node_id],
-        clock=base.clock,
-        rng=base.rng,
-        metrics=base.metrics,
+        client=context.client,
+        auth=context.keys,
+        peers=lambda: [m.peer for m in nodes.live() if m.node != context.node_id],
+        clock=context.clock,
+        rng=context.rng,
+        metrics=context.metrics,
     )
     sync = ConfigSync(
-        configuration=base.configuration,
+        configuration=context.configuration,
         table=platform.table,
         fetcher=fetcher,
-        auth=base.keys,
+        auth=context.keys,
         n_nodes=lambda: len(nodes.live()),
         announce=nodes.announce_version,
-        clock=base.clock,
-        rng=base.rng,
-        metrics=base.metrics,
+        clock=context.clock,
+        rng=context.rng,
+        metrics=context.metrics,
     )
     nodes.on_version(
         lambda version, root, holder: sync.hear(
@@ -170,43 +170,43 @@
     return sync
 
 
-def share_leaving(base: Base, nodes: Nodes) -> None:
-    """Let what one node knows of leaving engines and endpoints reach all."""
-    leaving = base.leaving
+def share_leaving(context: NodeContext, nodes: Nodes) -> None:
+    """Exchange announcements of leaving engines and endpoints with other nodes."""
+    leaving = context.leaving
 
-    def tell(fact: LeavingFact) -> None:
+    def announce(fact: LeavingFact) -> None:
         if fact.source != "gossip":
             nodes.announce_leaving(fact.endpoint, fact.at)
 
-    def hear(endpoint: str, at: float) -> None:
-        now = base.clock.wall()
+    def on_announcement(endpoint: str, at: float) -> None:
+        now = context.clock.wall()
         leaving.note(endpoint, "gossip", now, max(at, now) + GOSSIP_WORD_SECONDS)
 
-    leaving.subscribe(tell)
-    nodes.on_leaving(hear)
+    leaving.subscribe(announce)
+    nodes.on_leaving(on_announcement)
 
 
-async def keep_telling(base: Base, nodes: Nodes) -> None:
-    """Say again and again who leaves, for as long as this node knows it by itself.
+async def keep_telling(context: NodeContext, nodes: Nodes) -> None:
+    """Repeat announcements of leaving endpoints while this node's sources report them.
 
-    One node alone may be able to read the VM list, and an endpoint may take longer to
-    leave than gossip's word holds. Were it told once, all other nodes would after some
-    minutes send new work there again.
+    Perhaps only one node can read the VM list, and an endpoint may take longer to leave
+    than a gossiped announcement stays valid. After a single announcement, all other
+    nodes would send new work there again some minutes later.
     """
     while True:
-        await asyncio.sleep(RETELL_SECONDS)
-        now = base.clock.wall()
-        for fact in base.leaving.facts(now):
+        await asyncio.sleep(REANNOUNCE_SECONDS)
+        now = context.clock.wall()
+        for fact in context.leaving.facts(now):
             if fact.source != "gossip":
                 nodes.announce_leaving(fact.endpoint, now)
 
 
-def make_homes(base: Base, nodes: Nodes, engines: EngineClient) -> Homes:
-    """Make what runs the pools that fall to this node."""
-    leaving = base.leaving
-    clock = base.clock
+def make_homes(context: NodeContext, nodes: Nodes, engines: EngineClient) -> Homes:
+    """Create the component that runs the pools whose home is this node."""
+    leaving = context.leaving
+    clock = context.clock
 
-    def note(engine: str, at: float | None) -> None:
+    def on_engine_leaving(engine: str, at: float | None) -> None:
         if at is None:
             leaving.withdraw(engine, "report")
             homes.refresh()
@@ -215,92 +215,96 @@
 
     homes = Homes(
         nodes=nodes,
-        keys=base.keys,
-        configuration=base.configuration,
+        keys=context.keys,
+        configuration=context.configuration,
         client=engines,
         clock=clock,
-        rng=base.rng,
-        metrics=base.metrics,
+        rng=context.rng,
+        metrics=context.metrics,
         is_leaving=lambda name: leaving.is_leaving(name, clock.wall()),
-        tell_leaving=note,
+        tell_leaving=on_engine_leaving,
     )
     leaving.subscribe(lambda fact: homes.refresh())
     return homes
 
 
-def make_limits(base: Base, nodes: Nodes) -> LimitHomes:
-    """Make what keeps organisations within their limits over all nodes."""
+def make_limits(context: NodeContext, nodes: Nodes) -> LimitHomes:
+    """Create the component that enforces organisations' limits across all nodes."""
     return LimitHomes(
         nodes=nodes,
-        configuration=base.configuration,
-        keys=base.keys,
-        client=base.client,
-        clock=base.clock,
-        metrics=base.metrics,
+        configuration=context.configuration,
+        keys=context.keys,
+        client=context.client,
+        clock=context.clock,
+        metrics=context.metrics,
     )
 
 
-def make_reconciler(base: Base, platform: Platform, homes: Homes) -> EngineReconciler:
-    """Make what orders engines to be as the document says."""
+def make_reconciler(
+    context: NodeContext, platform: Platform, homes: Homes
+) -> EngineReconciler:
+    """Create the reconciler that sends engines orders to match the document."""
     return EngineReconciler(
-        configuration=base.configuration,
+        configuration=context.configuration,
         reports=homes.reports,
         leases=LeaseKeeper(
             table=platform.table,
-            holder=base.node_id,
-            clock=base.clock,
-            rng=base.rng,
+            holder=context.node_id,
+            clock=context.clock,
+            rng=context.rng,
         ),
-        pacer=LoadPacer(table=platform.table, clock=base.clock),
+        pacer=LoadPacer(table=platform.table, clock=context.clock),
         head_version=table_head_version(platform.table),
-        http=base.client,
-        clock=base.clock,
-        rng=base.rng,
-        metrics=base.metrics,
+        http=context.client,
+        clock=context.clock,
+        rng=context.rng,
+        metrics=context.metrics,
     )
 
 
-def make_admitter(base: Base, nodes: Nodes, homes: Homes) -> HomeAdmitter:
-    """Make what asks the pools' homes, and decides alone where none answers."""
+def make_admitter(context: NodeContext, nodes: Nodes, homes: Homes) -> HomeAdmitter:
+    """Create the admitter: it asks pools' homes, and decides itself if none answers."""
     lengths = LearnedLengths()
     alone = AloneChooser(
-        configuration=base.configuration,
-        routing=PowerOfTwo(rng=base.rng, lengths=lengths),
-        clock=base.clock,
-        rng=base.rng,
+        configuration=context.configuration,
+        routing=PowerOfTwo(rng=context.rng, lengths=lengths),
+        clock=context.clock,
+        rng=context.rng,
         lengths=lengths,
     )
     return HomeAdmitter(
         nodes=nodes,
         homes=homes,
-        keys=base.keys,
-        client=base.client,
-        clock=base.clock,
-        rng=base.rng,
-        metrics=base.metrics,
+        keys=context.keys,
+        client=context.client,
+        clock=context.clock,
+        rng=context.rng,
+        metrics=context.metrics,
         alone=alone,
-        is_leaving=lambda name: base.leaving.is_leaving(name, base.clock.wall()),
+        is_leaving=lambda name: context.leaving.is_leaving(name, context.clock.wall()),
     )
 
 
-def make_callers(base: Base, engines: EngineClient, admitter: Admitter) -> CallersApi:
-    """Make the callers' API of generations."""
-    cfg = base.cfg
+def make_callers(
+    context: NodeContext, engines: EngineClient, admitter: Admitter
+) -> CallersApi:
+    """Create the callers' API of generations."""
+    cfg = context.cfg
     tickets = TicketSigner(
         keys={key.key_id: key.secret for key in cfg.ticket_keys},
         current=cfg.ticket_keys[0].key_id,
-        clock=base.clock,
+        clock=context.clock,
     )
     return CallersApi(
-        configuration=base.configuration,
-        authenticator=base.authenticator,
+        configuration=context.configuration,
+        authenticator=context.authenticator,
         admitter=admitter,
         engines=engines,
-        retries=BudgetedRetry(rng=base.rng),
+        retries=BudgetedRetry(rng=context.rng),
         tickets=tickets,
-        metrics=base.metrics,
-        clock=base.clock,
-        rng=base.rng,
+        metrics=context.metrics,
+        clock=context.clock,
+        rng=context.rng,
         limits=CallerLimits(
             queue_seconds=cfg.queue_seconds,
             generation_seconds=cfg.generation_seconds,
@@ -311,7 +315,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Services:
-    """What serves calls to plain services."""
+    """Holds the components that serve calls to plain services."""
 
     directory: EndpointDirectory
     sweeper: ClaimSweeper
@@ -320,62 +324,66 @@
     api: ServiceApi
 
 
-def make_services(base: Base, platform: Platform) -> Services:
-    """Make the callers' API of plain services."""
+def make_services(context: NodeContext, platform: Platform) -> Services:
+    """Create the callers' API of plain services and its components."""
     directory = EndpointDirectory(
-        configuration=base.configuration,
-        leaving=base.leaving,
-        http=base.client,
-        clock=base.clock,
-        rng=base.rng,
-        failure_domain=base.cfg.failure_domain,
-        metrics=base.metrics,
+        configuration=context.configuration,
+        leaving=context.leaving,
+        http=context.client,
+        clock=context.clock,
+        rng=context.rng,
+        failure_domain=context.cfg.failure_domain,
+        metrics=context.metrics,
     )
-    claims = ClaimStore(table=platform.table, clock=base.clock, rng=base.rng)
-    recorder = ClaimRecorder(store=claims, clock=base.clock, rng=base.rng)
+    claims = ClaimStore(table=platform.table, clock=context.clock, rng=context.rng)
+    recorder = ClaimRecorder(store=claims, clock=context.clock, rng=context.rng)
     calls = ServiceCalls(
-        node_id=base.node_id,
+        node_id=context.node_id,
         claims=claims,
         recorder=recorder,
-        sender=CallSender(directory=directory, http=base.client, clock=base.clock),
-        clock=base.clock,
-        rng=base.rng,
-        metrics=base.metrics,
+        sender=CallSender(
+            directory=directory, http=context.client, clock=context.clock
+        ),
+        clock=context.clock,
+        rng=context.rng,
+        metrics=context.metrics,
     )
     api = ServiceApi(
         calls=calls,
-        configuration=base.configuration,
-        authenticator=base.authenticator,
-        clock=base.clock,
-        call_seconds=base.cfg.call_seconds,
+        configuration=context.configuration,
+        authenticator=context.authenticator,
+        clock=context.clock,
+        call_seconds=context.cfg.call_seconds,
     )
     return Services(
         directory=directory,
-        sweeper=ClaimSweeper(table=platform.table, clock=base.clock, rng=base.rng),
+        sweeper=ClaimSweeper(
+            table=platform.table, clock=context.clock, rng=context.rng
+        ),
         recorder=recorder,
         calls=calls,
         api=api,
     )
 
 
-def make_addresses(base: Base, nodes: Nodes) -> AddressesApi:
-    """Make what tells callers which addresses to use."""
+def make_addresses(context: NodeContext, nodes: Nodes) -> AddressesApi:
+    """Create the API that gives callers the addresses of nodes."""
     return AddressesApi(
         source=NodesSource(nodes=nodes),
-        failure_domain=base.cfg.failure_domain,
-        region=base.cfg.region,
-        clock=base.clock,
-        rng=base.rng,
-        address_seconds=base.cfg.answer_seconds,
+        failure_domain=context.cfg.failure_domain,
+        region=context.cfg.region,
+        clock=context.clock,
+        rng=context.rng,
+        address_seconds=context.cfg.answer_seconds,
     )
 
 
-def make_status(base: Base, nodes: Nodes, sync: ConfigSync) -> NodeStatus:
-    """Make what operators see of the node."""
+def make_status(context: NodeContext, nodes: Nodes, sync: ConfigSync) -> NodeStatus:
+    """Create the status report for operators."""
     return NodeStatus(
         nodes=nodes,
         sync=sync,
-        leaving=base.leaving,
-        keys=base.keys,
-        wall=base.clock.wall,
+        leaving=context.leaving,
+        keys=context.keys,
+        wall=context.clock.wall,
     )
