--- a/celerytrail/__main__.py
+++ b/celerytrail/__main__.py
@@ -10,10 +10,10 @@
 
 
 def main() -> None:
-    """Run a node by the platform's settings file, or whatever the command line says.
+    """Run a node from the platform's settings file, or else the command line.
 
-    Such a node takes no flags. Without the library that parses them it is 2 MB smaller
-    and sooner there after a restart.
+    A node with a settings file takes no flags. Not importing the library that parses
+    flags saves 2 MB and speeds up restarts.
     """
     path = os.environ.get(SETTINGS_VARIABLE)
     if path is not None and sys.argv[1:] == ["node"]:
--- a/celerytrail/accounts.py
+++ b/celerytrail/accounts.py
@@ -1,4 +1,4 @@
-"""Operators' accounts as the settings hold them: names, and hashes of passwords."""
+"""Operators' accounts in the settings: names and password hashes."""
 
 from __future__ import annotations
 
@@ -12,14 +12,14 @@
 
 from .types import Finding
 
-# Some tens of milliseconds and 16 MB for each try, which makes guessing slow.
+# Each attempt takes some tens of milliseconds and 16 MB, which slows down guessing.
 SCRYPT_N = 2**14
 SCRYPT_R = 8
 SCRYPT_P = 1
 
 
 def make_account(name: str, password: str, *, salt: bytes | None = None) -> str:
-    """Return an account as the settings hold it: ``NAME:SALT:HASH`` by scrypt."""
+    """Return an account as ``NAME:SALT:HASH``, the format of the settings."""
     salt = secrets.token_bytes(16) if salt is None else salt
     return f"{name}:{salt.hex()}:{scrypt_digest(password, salt).hex()}"
 
@@ -32,7 +32,7 @@
 
 
 def scrypt_digest(password: str, salt: bytes) -> bytes:
-    """Return the hash of a password."""
+    """Return the scrypt hash of a password."""
     return hashlib.scrypt(
         password.encode(), salt=salt, n=SCRYPT_N, r=SCRYPT_R, p=SCRYPT_P, dklen=32
     )
@@ -40,27 +40,27 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class PasswordHash:
-    """A salt and what scrypt made of it and the password."""
+    """Holds a salt and the scrypt hash of it and a password."""
 
     salt: bytes
     digest: bytes
 
 
 def parse_accounts(text: str, place: str) -> Result[Hashes, tuple[Finding, ...]]:
-    """Read accounts: ``NAME:SALT:HASH``, several with commas between them.
+    """Parse comma-separated accounts of the form ``NAME:SALT:HASH``.
 
     Parameters
     ----------
     text : str
-        The setting.
+        The setting's value.
     place : str
-        The setting's name, for the findings.
+        The setting's name, used in findings.
     """
     findings: list[Finding] = []
     hashes: dict[str, PasswordHash] = {}
     for number, part in enumerate(text.split(","), 1):
         match = _ACCOUNT.fullmatch(part.strip())
-        # The text holds hashes, so messages tell the number and never repeat it.
+        # The text contains hashes, so messages give its number instead.
         if match is None:
             problem = f"account {number} is not NAME:SALT:HASH as made by the command"
             findings.append(Finding(place=place, problem=problem))
--- a/celerytrail/clock.py
+++ b/celerytrail/clock.py
@@ -1,8 +1,8 @@
-"""Clocks: the one place where code learns the time.
+"""Clocks: the only source of time.
 
-Decisions never read the time themselves; they are handed ``now``. Deadlines inside a
-process are stored on the monotonic clock, in seconds; times that travel between
-processes are stored on the wall clock, in seconds since the epoch.
+Policies never read a clock; they receive ``now`` as an argument. Deadlines within a
+process are on the monotonic clock, in seconds. Times exchanged between processes are
+on the wall clock, in seconds since the epoch.
 """
 
 from __future__ import annotations
@@ -13,36 +13,36 @@
 
 
 class Clock(abc.ABC):
-    """A source of monotonic and wall time, both in seconds."""
+    """Provides monotonic, wall and boot time, all in seconds."""
 
     @abc.abstractmethod
     def monotonic(self) -> float:
-        """Return seconds on a clock that never goes back."""
+        """Return seconds on a clock that never goes backwards."""
 
     @abc.abstractmethod
     def wall(self) -> float:
-        """Return seconds since the epoch; it may jump either way."""
+        """Return seconds since the epoch; may jump in either direction."""
 
     @abc.abstractmethod
     def boottime(self) -> float:
-        """Return seconds on a clock that neither jumps nor stands still.
+        """Return seconds on a clock that never jumps and counts suspended time.
 
-        The monotonic clock stands still while a VM is suspended. Were the age of what a
-        node knows counted on it, a node that wakes after a minute would take its
-        knowledge for fresh, and let a key through that was taken away meanwhile.
+        The monotonic clock stops while a VM is suspended. If the age of a node's data
+        were measured on it, a node resumed after a minute would treat stale data as
+        fresh and accept a key that was revoked in that minute.
         """
 
     def deadline_of_wall(self, wall_deadline: float) -> float:
-        """Turn a deadline on the wall clock into one on the monotonic clock."""
+        """Convert a wall-clock deadline to the monotonic clock."""
         return self.monotonic() + (wall_deadline - self.wall())
 
     def wall_of_deadline(self, deadline: float) -> float:
-        """Turn a deadline on the monotonic clock into one on the wall clock."""
+        """Convert a monotonic deadline to the wall clock."""
         return self.wall() + (deadline - self.monotonic())
 
 
 class SystemClock(Clock):
-    """The machine's clocks."""
+    """Reads the machine's clocks."""
 
     def monotonic(self) -> float:
         """Return ``time.monotonic()``."""
@@ -53,25 +53,25 @@
         return time.time()
 
     def boottime(self) -> float:
-        """Return the seconds since the machine's start, suspension included."""
+        """Return seconds since the machine booted, time suspended included."""
         return time.clock_gettime(time.CLOCK_BOOTTIME)
 
 
 class LoopClock(Clock):
-    """The running event loop's clock, with a settable wall time.
+    """Reads the running event loop's clock, with a settable wall time.
 
-    Under ``looptime`` this is virtual time, which is how a test gets an hour in under
-    a second. ``wall_offset`` lets a test make the wall clock jump.
+    Under ``looptime`` the loop's time is virtual, so a test simulates an hour in under
+    a second. A test changes ``wall_offset`` to make the wall clock jump.
 
     Parameters
     ----------
     wall_offset : float
-        Seconds added to the loop's time to give the wall time.
+        Seconds from the loop's time to the wall time.
 
     Attributes
     ----------
     suspended_seconds : float
-        How long the machine was suspended; the loop's time stood still meanwhile.
+        How long the machine was suspended; the loop's time does not include it.
     """
 
     def __init__(self, *, wall_offset: float = 1_700_000_000.0) -> None:
@@ -83,33 +83,33 @@
         return asyncio.get_running_loop().time()
 
     def wall(self) -> float:
-        """Return the loop's time moved by the offset."""
+        """Return the boot time plus the offset."""
         return self.boottime() + self.wall_offset
 
     def boottime(self) -> float:
-        """Return the loop's time and that of suspensions."""
+        """Return the loop's time plus the time suspended."""
         return self.monotonic() + self.suspended_seconds
 
 
 class ManualClock(Clock):
-    """A clock that stands still until it is moved; for tests and the bench."""
+    """Keeps a time that changes only when advanced; for tests and the bench."""
 
     def __init__(self, *, start: float = 0.0, wall_offset: float = 0.0) -> None:
         self.time = start
         self.wall_offset = wall_offset
 
     def monotonic(self) -> float:
-        """Return the time it was last moved to."""
+        """Return the current time."""
         return self.time
 
     def wall(self) -> float:
-        """Return the time it was last moved to, with the offset."""
+        """Return the current time plus the offset."""
         return self.time + self.wall_offset
 
     def boottime(self) -> float:
-        """Return the time it was last moved to."""
+        """Return the current time."""
         return self.time
 
     def advance(self, seconds: float) -> None:
-        """Move the clock on by ``seconds``."""
+        """Advance the clock by ``seconds``."""
         self.time += seconds
--- a/celerytrail/cmdline.py
+++ b/celerytrail/cmdline.py
@@ -1,4 +1,4 @@
-"""The command line: it parses and reports; objects of the library do the work."""
+"""The command line: parses arguments, calls the library and prints the results."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
 config_app = typer.Typer(no_args_is_help=True, help="Work with documents.")
 app.add_typer(config_app, name="config")
 claims_app = typer.Typer(
-    no_args_is_help=True, help="Settle calls whose outcome nobody knows."
+    no_args_is_help=True, help="Settle calls whose outcome is unknown."
 )
 app.add_typer(claims_app, name="claims")
 
@@ -52,44 +52,47 @@
 
 
 def _node(cfg: settings.NodeSettings) -> None:
-    """Run a node: the one daemon of an entry VM.
+    """Run a node, the daemon of an entry VM.
 
-    Where CELERYTRAIL_SETTINGS names a platform's settings file, the node runs by that
-    file, and takes no flags.
+    If CELERYTRAIL_SETTINGS names a platform's settings file, the node takes its
+    settings from that file and accepts no flags.
     """
     from .node import run_node
 
     run_node(cfg)
 
 
-def _node_by_file(flags: Mapping[str, str | None]) -> None:
-    """Run a node by a platform's settings file, where the environment names one."""
+def _run_from_file(flags: Mapping[str, str | None]) -> None:
+    """Run a node from a platform's settings file if the environment names one."""
     from .platform.nodefile import SETTINGS_VARIABLE
 
     path = os.environ.get(SETTINGS_VARIABLE)
     if path is None:
         return
-    given = [
-        Finding(place=settings.flag_name(name), problem="stands in the settings file")
+    findings = [
+        Finding(
+            place=settings.flag_name(name),
+            problem="can't be combined with a settings file",
+        )
         for name, value in flags.items()
         if value is not None
     ]
-    if given:
-        _fail(given)
+    if findings:
+        _fail(findings)
     from .relay.daemon import run_relay_node
 
     raise typer.Exit(run_relay_node(path))
 
 
 def _console(cfg: settings.ConsoleSettings) -> None:
-    """Run the operators' console of forms."""
+    """Run the operators' console."""
     from .operators.app import run_console
 
     run_console(cfg)
 
 
 def _debug(cfg: settings.NodeSettings) -> None:
-    """Print what a bug report needs: versions and effective settings."""
+    """Print versions and effective settings for a bug report."""
     from .debug import versions
 
     for name, value in [*versions(), *settings.describe(cfg)]:
@@ -100,7 +103,7 @@
 def config_check(
     files: Annotated[list[Path], typer.Argument(help="Documents as JSON files.")],
 ) -> None:
-    """Check documents; every finding is printed with its place."""
+    """Check documents and print each finding with its place."""
     from .configuration.validation import validate
 
     findings: list[Finding] = []
@@ -108,8 +111,8 @@
         checked = validate(_read_bytes(path))
         if isinstance(checked, Err):
             findings += [
-                Finding(place=f"{path}: {found.place}", problem=found.problem)
-                for found in checked.err_value
+                Finding(place=f"{path}: {finding.place}", problem=finding.problem)
+                for finding in checked.err_value
             ]
         else:
             typer.echo(f"{path}: fine")
@@ -124,30 +127,32 @@
         str, typer.Option(envvar="CELERYTRAIL_PEER_KEYS", help="ID:HEX keys.")
     ],
 ) -> None:
-    """Print the state of nodes as JSON: members, version, queues, who leaves."""
+    """Print the state of nodes as JSON: members, version, queues, leaving endpoints."""
     from .tools import fetch_status
 
-    addresses = _parsed("NODES", settings.parse_addresses, ",".join(nodes))
-    keys = _parsed("--peer-keys", settings.parse_keys, peer_keys)
-    found, findings = asyncio.run(fetch_status(addresses, keys))
-    typer.echo(json.dumps(found, indent=2))
+    addresses = _parse("NODES", settings.parse_addresses, ",".join(nodes))
+    keys = _parse("--peer-keys", settings.parse_keys, peer_keys)
+    statuses, findings = asyncio.run(fetch_status(addresses, keys))
+    typer.echo(json.dumps(statuses, indent=2))
     if findings:
         _fail(findings)
 
 
 @claims_app.command("list")
 def claims_list(platform: PlatformFlag) -> None:
-    """List the open claims, a line each."""
-    from .tools import ClaimDesk
+    """List the open claims, one per line."""
+    from .tools import ClaimSettler
 
-    desk = ClaimDesk(platform=_parsed("--platform", settings.parse_addresses, platform))
-    listed = asyncio.run(desk.list_open())
+    settler = ClaimSettler(
+        platform=_parse("--platform", settings.parse_addresses, platform)
+    )
+    listed = asyncio.run(settler.list_open())
     if isinstance(listed, Err):
         _fail([listed.err_value])
-    for one in listed.ok_value:
-        claim = one.claim
+    for open_claim in listed.ok_value:
+        claim = open_claim.claim
         typer.echo(
-            f"{one.row_key} {claim.state} organisation={claim.organisation} "
+            f"{open_claim.row_key} {claim.state} organisation={claim.organisation} "
             f"service={claim.service} operation={claim.operation} "
             f"attempt={claim.attempt} node={claim.node}"
         )
@@ -155,21 +160,25 @@
 
 @claims_app.command("settle")
 def claims_settle(
-    row: Annotated[str, typer.Argument(help="The row as `claims list` shows it.")],
+    row: Annotated[
+        str, typer.Argument(help="The row key as printed by `claims list`.")
+    ],
     verdict: Annotated[str, typer.Option(help="not_run or answered.")],
-    by: Annotated[str, typer.Option(help="Who found it out.")],
+    by: Annotated[str, typer.Option(help="Who determined the outcome.")],
     platform: PlatformFlag,
 ) -> None:
-    """Record what the endpoint's own books say of an open claim."""
-    from .tools import ClaimDesk
+    """Record an open claim's outcome, as the endpoint's own records show it."""
+    from .tools import ClaimSettler
 
     if verdict not in ("not_run", "answered"):
         _fail([Finding(place="--verdict", problem="should be not_run or answered")])
-    desk = ClaimDesk(platform=_parsed("--platform", settings.parse_addresses, platform))
-    known: Literal["not_run", "answered"] = (
+    settler = ClaimSettler(
+        platform=_parse("--platform", settings.parse_addresses, platform)
+    )
+    checked: Literal["not_run", "answered"] = (
         "answered" if verdict == "answered" else "not_run"
     )
-    settled = asyncio.run(desk.settle(row, known, by))
+    settled = asyncio.run(settler.settle(row, checked, by))
     if isinstance(settled, Err):
         _fail([settled.err_value])
     typer.echo(f"{row}: settled as {verdict}")
@@ -182,7 +191,7 @@
         str, typer.Option(prompt=True, hide_input=True, confirmation_prompt=True)
     ],
 ) -> None:
-    """Print an operator's account for the console's settings."""
+    """Print an operator's account in the format of the console's settings."""
     from .accounts import make_account
 
     typer.echo(make_account(name, password))
@@ -192,14 +201,14 @@
 def timeline(
     logs: Annotated[list[Path], typer.Argument(help="Log files of any processes.")],
     request: Annotated[
-        str | None, typer.Option(help="Show only what belongs to this request id.")
+        str | None, typer.Option(help="Show only the events of this request id.")
     ] = None,
     page: Annotated[
         Path | None, typer.Option(help="Write an HTML page instead of text.")
     ] = None,
 ) -> None:
-    """Merge the logs of all processes into one time line."""
-    from . import timeline as lines
+    """Merge the logs of all processes into one timeline."""
+    from . import timeline as timelines
     from .timelinepage import as_page
 
     missing = [
@@ -209,13 +218,13 @@
     ]
     if missing:
         _fail(missing)
-    whole = lines.read_files(logs)
+    merged = timelines.read_files(logs)
     if request is not None:
-        whole = whole.of_request(request)
+        merged = merged.of_request(request)
     if page is not None:
-        page.write_text(as_page(whole), encoding="utf-8")
+        page.write_text(as_page(merged), encoding="utf-8")
         return
-    for line in lines.as_text(whole):
+    for line in timelines.as_text(merged):
         typer.echo(line)
 
 
@@ -226,52 +235,55 @@
 
 def _settings_command(
     name: str,
-    table: type[T],
+    settings_class: type[T],
     run: Callable[[T], None],
-    first: Callable[[Mapping[str, str | None]], None] | None = None,
+    before_run: Callable[[Mapping[str, str | None]], None] | None = None,
 ) -> None:
     """Add a command whose flags are the options of a settings class.
 
-    ``first`` is asked before the flags are read, and may run something in their place.
+    ``before_run`` is called before the flags are parsed. It may run something else and
+    exit.
     """
 
     def command(**flags: str | None) -> None:
-        if first is not None:
-            first(flags)
-        match settings.read(table, flags, os.environ):
+        if before_run is not None:
+            before_run(flags)
+        match settings.read(settings_class, flags, os.environ):
             case Err(findings):
                 _fail(findings)
-            case good:
-                run(good.ok_value)
+            case valid:
+                run(valid.ok_value)
 
     parameters = [
         inspect.Parameter(
-            item.name,
+            field.name,
             inspect.Parameter.KEYWORD_ONLY,
             default=None,
-            annotation=_flag(item),
+            annotation=_flag_annotation(field),
         )
-        for item in dataclasses.fields(table)  # type: ignore[arg-type]
+        for field in dataclasses.fields(settings_class)  # type: ignore[arg-type]
     ]
     command.__signature__ = inspect.Signature(parameters)  # type: ignore[attr-defined]
-    command.__annotations__ = {item.name: item.annotation for item in parameters}
+    command.__annotations__ = {
+        parameter.name: parameter.annotation for parameter in parameters
+    }
     command.__doc__ = run.__doc__
     app.command(name)(command)
 
 
-def _flag(item: dataclasses.Field[object]) -> object:
-    known = settings.option_of(item)
-    default = known.default_text
-    text = f"{known.help} [env: {settings.variable_name(item.name)}]"
+def _flag_annotation(field: dataclasses.Field[object]) -> object:
+    option = settings.option_of(field)
+    default = option.default_text
+    text = f"{option.help} [env: {settings.variable_name(field.name)}]"
     if default is None:
         text += " [needed]"
     elif default:
         text += f" [default: {default}]"
-    flag = settings.flag_name(item.name)
+    flag = settings.flag_name(field.name)
     return Annotated[str | None, typer.Option(flag, help=text, show_default=False)]
 
 
-def _parsed(place: str, parse: Callable[[str], T], text: str) -> T:
+def _parse(place: str, parse: Callable[[str], T], text: str) -> T:
     try:
         return parse(text)
     except ValueError as exc:
@@ -286,12 +298,12 @@
 
 
 def _fail(findings: Sequence[Finding]) -> NoReturn:
-    """Print all findings and leave with the code for wrong input."""
+    """Print all findings and exit with the status for invalid input."""
     for finding in findings:
         typer.echo(f"error: {finding}", err=True)
     raise typer.Exit(EXIT_FINDINGS)
 
 
-_settings_command("node", settings.NodeSettings, _node, _node_by_file)
+_settings_command("node", settings.NodeSettings, _node, _run_from_file)
 _settings_command("console", settings.ConsoleSettings, _console)
 _settings_command("debug", settings.NodeSettings, _debug)
--- a/celerytrail/debug.py
+++ b/celerytrail/debug.py
@@ -1,4 +1,4 @@
-"""What a bug report needs to say of the program and its machine."""
+"""Versions for bug reports: the program, its libraries and the system."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 def versions() -> list[tuple[str, str]]:
-    """Return names and versions of the program, Python and the libraries."""
+    """Return the names and versions of the program, Python and the libraries."""
     found = [
         ("celerytrail", __version__),
         ("python", platform.python_version()),
--- a/celerytrail/exceptions.py
+++ b/celerytrail/exceptions.py
@@ -1,23 +1,23 @@
-"""The exceptions of this package, by who must act on them.
+"""The exceptions of this package, one class for each party that must act on them.
 
-Expected failures travel as ``result`` values; these are raised only for what the
-immediate caller can't act on.
+Expected failures are returned as ``result`` values. Exceptions are raised only for
+failures that the immediate caller can't handle.
 """
 
 from __future__ import annotations
 
 
 class CelerytrailError(Exception):
-    """Base of every exception that this package raises on purpose."""
+    """Base class of all exceptions that this package raises."""
 
 
 class SettingsError(CelerytrailError):
-    """Whoever starts the process must mend its settings.
+    """The settings are invalid; whoever starts the process must correct them.
 
     Parameters
     ----------
     findings : sequence of Finding
-        All that is wrong, each with its place.
+        All problems, each with its place.
     """
 
     def __init__(self, findings: object) -> None:
@@ -26,8 +26,8 @@
 
 
 class PeerError(CelerytrailError):
-    """A peer broke its protocol; the connection to it must be closed."""
+    """A peer violated its protocol; the connection to it must be closed."""
 
 
 class InternalError(CelerytrailError):
-    """A state was reached that should be impossible: a bug to report."""
+    """An impossible state was reached, which is a bug to report."""
--- a/celerytrail/footprint.py
+++ b/celerytrail/footprint.py
@@ -1,20 +1,20 @@
-"""Keeps a node on the platform small: what it never uses is not loaded."""
+"""Reduction of a platform node's memory: unused modules are not imported."""
 
 from __future__ import annotations
 
 import sys
 
-# OpenSSL, by the names that asyncio and hashlib import it under.
-UNUSED = ("ssl", "_ssl", "_hashlib")
+# The modules of OpenSSL that asyncio and hashlib import.
+UNUSED_MODULES = ("ssl", "_ssl", "_hashlib")
 
 
 def leave_out_unused() -> None:
-    """Keep the modules of OpenSSL from being loaded.
+    """Block the import of OpenSSL's modules.
 
-    asyncio and hashlib load them wherever they are found. They take some 5 MB in each
-    node's process, and time at each start, in which no caller is served. All that a
-    node on the platform speaks is plain HTTP; asyncio goes on without TLS, and hashlib
-    with functions of its own.
+    asyncio and hashlib import them if they are installed. They take some 5 MB in each
+    node's process and delay each start, during which no caller is served. A node on the
+    platform only uses plain HTTP: without these modules asyncio works without TLS, and
+    hashlib uses its built-in implementations.
     """
-    for name in UNUSED:
+    for name in UNUSED_MODULES:
         sys.modules.setdefault(name, None)  # type: ignore[arg-type]
--- a/celerytrail/metrics.py
+++ b/celerytrail/metrics.py
@@ -1,7 +1,7 @@
-"""Metrics by aioprometheus: one declared table, rendered at ``/metrics``.
+"""Metrics with aioprometheus, declared in tables and rendered at ``/metrics``.
 
-An observation costs about 3 us, so per-token code counts in plain numbers and hands
-them over in steps, never one by one.
+An observation costs about 3 us, so per-token code counts in plain numbers and adds
+them to the metrics in batches.
 """
 
 from __future__ import annotations
@@ -9,7 +9,7 @@
 from bisect import bisect_left
 
 from aioprometheus import Counter, Gauge, Histogram, Registry, render
-from aioprometheus.histogram import Histogram as Aggregate
+from aioprometheus.histogram import Histogram as HistogramSeries
 
 TIME_BUCKETS = (0.005, 0.01, 0.02, 0.03, 0.05, 0.1, 0.2, 0.31, 0.5, 1.0, 3.0, 10.0)
 
@@ -17,31 +17,31 @@
 
 
 class TimeCounts:
-    """Times counted in plain numbers, to be handed to a histogram in one step."""
+    """Counts durations by bucket, to be added to a histogram in one step."""
 
     def __init__(self) -> None:
         self.n_by_bucket = [0] * (len(TIME_BUCKETS) + 1)
         self.seconds = 0.0
 
     def add(self, seconds: float, n: int = 1) -> None:
-        """Count a time; of ``n`` that came together all but one took none."""
+        """Count ``n`` simultaneous events: one duration and ``n - 1`` zeros."""
         self.seconds += seconds
         self.n_by_bucket[bisect_left(TIME_BUCKETS, seconds)] += 1
         self.n_by_bucket[0] += n - 1
 
     @property
     def is_empty(self) -> bool:
-        """Return whether nothing was counted."""
+        """Return whether no duration was counted."""
         return not any(self.n_by_bucket)
 
 
 class Metrics:
-    """The metrics of one process.
+    """Holds the metrics of one process.
 
     Parameters
     ----------
     process : str
-        The process's name, a label of everything.
+        The process's name, a label of all metrics.
     """
 
     def __init__(self, *, process: str) -> None:
@@ -78,23 +78,23 @@
         gauge.set(labels, value)
 
     def observe(self, name: str, seconds: float, **labels: str) -> None:
-        """Add to a histogram of seconds, ``celerytrail_NAME_seconds``."""
+        """Add a duration to the histogram ``celerytrail_NAME_seconds``."""
         self._histogram(name).observe(labels, seconds)
 
     def observe_many(self, name: str, counts: TimeCounts, **labels: str) -> None:
-        """Add what was counted before."""
+        """Add a batch of counted durations to the histogram."""
         histogram = self._histogram(name)
         try:
             series = histogram.get_value(labels)
         except KeyError:
-            series = Aggregate(*TIME_BUCKETS)
+            series = HistogramSeries(*TIME_BUCKETS)
             histogram.set_value(labels, series)
-        # The library's buckets are cumulative and take no observation with a weight.
-        n_so_far = 0
+        # The library's buckets are cumulative, and it has no weighted observations.
+        n_cumulative = 0
         for bound, n in zip(series.buckets, counts.n_by_bucket, strict=True):
-            n_so_far += n
-            series.buckets[bound] += n_so_far
-        series.observations += n_so_far
+            n_cumulative += n
+            series.buckets[bound] += n_cumulative
+        series.observations += n_cumulative
         series.sum += counts.seconds
 
     def _histogram(self, name: str) -> Histogram:
@@ -116,23 +116,23 @@
         return body, dict(headers)
 
 
-# What can be counted, set and observed; a name that is not here is a bug.
+# Help texts of all metrics; using a name that is not declared here is a bug.
 COUNTERS = {
     "requests": "Callers' requests, by route and status.",
     "refusals": "Requests refused as not run, by reason.",
-    "unknowns": "Calls whose outcome could not be told, by reason.",
+    "unknowns": "Calls whose outcome is unknown, by reason.",
     "tokens": "Tokens relayed to callers.",
     "stalls": "Gaps between tokens longer than the stall limit.",
-    "stall_seconds": "Time that streams stood still beyond the stall limit.",
+    "stall_seconds": "Time that gaps between tokens exceeded the stall limit.",
     "preemptions": "Preemptions that engines reported.",
-    "resumes": "Streams taken up again, by cause.",
+    "resumes": "Streams resumed, by cause.",
     "bad_input": "Items from peers that were dropped, by peer and problem.",
     "platform_calls": "Calls to the platform, by kind and outcome.",
     "claims": "Claims on idempotency keys, by outcome.",
     "gossip_bytes": "Bytes of gossip, by direction.",
     "membership_changes": "Changes of other nodes' states, by state.",
     "orders": "Orders sent to engines, by outcome.",
-    "relay_events": "Turning points of relayed requests, by event and cause.",
+    "relay_events": "Events of relayed requests, by event and cause.",
 }
 GAUGES = {
     "configuration_version": "The version of the document in force.",
@@ -140,10 +140,10 @@
     "streams": "Streams being relayed.",
     "queued": "Requests waiting for a grant, by model.",
     "engine_used_tokens": "Tokens in an engine's memory as last reported, by engine.",
-    "news_sent": "Datagrams of news of runs sent to other nodes.",
-    "news_sent_bytes": "Bytes of these datagrams, with the heads of IP and UDP.",
+    "news_sent": "Datagrams with updates about runs sent to other nodes.",
+    "news_sent_bytes": "Bytes of these datagrams, IP and UDP headers included.",
     "news_period_seconds": "Time between two lists of this node's runs.",
-    "knowledge_age_seconds": "Age of what is known of keys and configuration.",
+    "knowledge_age_seconds": "Age of the node's copy of keys and configuration.",
 }
 HISTOGRAMS = {
     "first_token": "Time from request to first token.",
@@ -151,9 +151,9 @@
     "relay_wait": "Time from a request's arrival until an engine was chosen for it.",
     "relay_between_events": "Time between two events of a generation's stream.",
     "platform_call": "Time of a call to the platform, with its retries, by kind.",
-    "knowledge_renewed": "How old a node's word of a table had become, by table.",
-    "relay_longest_pause": "The longest pause between two events of a whole stream.",
+    "knowledge_renewed": "Age of a node's copy of a table at its renewal, by table.",
+    "relay_longest_pause": "Longest pause between two events of a complete stream.",
     "relay_first_event": "Time from a request's arrival to its first event.",
     "relay_answer": "Time from a request's arrival to the end of its answer.",
-    "admission": "Time from asking for a grant to the answer.",
+    "admission": "Time from requesting a grant to the answer.",
 }
--- a/celerytrail/node.py
+++ b/celerytrail/node.py
@@ -89,7 +89,7 @@
         self._platform = wiring.connect_platform(self.base)
         self.nodes = wiring.make_nodes(self.base)
         self.sync = wiring.make_sync(self.base, self._platform, self.nodes)
-        self._vms = VmWatch(
+        self._vm_watch = VmWatch(
             vms=self._platform.vms,
             nodes=self.nodes,
             leaving=self.base.leaving,
@@ -121,7 +121,7 @@
         await self.limits.start()
         self.services.directory.start()
         self._start_task(self._register())
-        self._start_task(self._vms.run())
+        self._start_task(self._vm_watch.run())
         self._start_task(wiring.keep_telling(self.base, self.nodes))
         self._start_task(self._reconciler.run())
         self._start_task(self.services.sweeper.run())
--- a/celerytrail/settings.py
+++ b/celerytrail/settings.py
@@ -1,7 +1,7 @@
-"""Settings: declarative tables of options, read from flags and the environment.
+"""Settings: classes of declared options, read from flags and the environment.
 
-Each settings class is the table: a field is an option, with its parser, default and
-help. Every finding of every option is reported together.
+Each field of a settings class is an option with its parser, default and help. The
+findings of all options are reported together.
 """
 
 from __future__ import annotations
@@ -25,14 +25,14 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class SigningKey:
-    """A secret key and the id by which signatures name it."""
+    """Holds a secret key and the id that signatures refer to it by."""
 
     key_id: str
     secret: bytes = field(repr=False)
 
 
 def parse_text(text: str) -> str:
-    """Take a name: letters, digits, dots, dashes and underscores."""
+    """Parse a name of letters, digits, dots, dashes and underscores."""
     if not re.fullmatch(r"[A-Za-z0-9._-]{1,100}", text):
         raise ValueError(
             f"{text!r} should be 1 to 100 letters, digits, dots, dashes or underscores"
@@ -41,21 +41,21 @@
 
 
 def parse_path(text: str) -> str:
-    """Take a file's path."""
+    """Parse the path of a file."""
     if not text:
         raise ValueError("a path is missing")
     return text
 
 
 def parse_count(text: str) -> int:
-    """Take a whole number of at least 1."""
+    """Parse a whole number of at least 1."""
     if not text.isdigit() or int(text) < 1:
         raise ValueError(f"{text!r} should be a whole number of at least 1")
     return int(text)
 
 
 def parse_seconds(text: str) -> float:
-    """Take a positive number of seconds."""
+    """Parse a positive number of seconds."""
     try:
         seconds = float(text)
     except ValueError as exc:
@@ -66,16 +66,16 @@
 
 
 def parse_addresses(text: str) -> tuple[Address, ...]:
-    """Take addresses with commas between them; may be empty."""
+    """Parse comma-separated addresses; there may be none."""
     return tuple(Address.parse(part.strip()) for part in text.split(",") if part)
 
 
 def parse_keys(text: str) -> tuple[SigningKey, ...]:
-    """Take ``ID:HEX`` keys with commas between them; the first one signs."""
+    """Parse comma-separated ``ID:HEX`` keys; the first one signs."""
     keys = []
     for part in text.split(","):
         key_id, _, digits = part.strip().partition(":")
-        # The text itself is a secret, so messages never repeat it.
+        # The text is a secret, so error messages never contain it.
         if not re.fullmatch(r"[A-Za-z0-9]{1,16}", key_id):
             raise ValueError("each key should be ID:HEX, ID of 1 to 16 letters, digits")
         if not re.fullmatch(r"(?:[0-9a-fA-F]{2}){16,64}", digits):
@@ -87,22 +87,22 @@
 
 
 def parse_accounts(text: str) -> str:
-    """Take operators' accounts as they stand, once they can be read.
+    """Check operators' accounts and return the text unchanged.
 
-    The console reads them again with `accounts.parse_accounts`, which is
-    loaded here only when needed, since a node has no use for it.
+    The console parses the text again with `accounts.parse_accounts`. That module is
+    imported here, not at the top, since a node doesn't need it.
     """
-    from .accounts import parse_accounts as read_accounts
+    from .accounts import parse_accounts as parse_hashes
 
-    checked = read_accounts(text, "accounts")
+    checked = parse_hashes(text, "accounts")
     if isinstance(checked, Err):
-        raise ValueError("; ".join(found.problem for found in checked.err_value))
+        raise ValueError("; ".join(finding.problem for finding in checked.err_value))
     return text
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Option:
-    """What is known of one option besides its name and default."""
+    """Declares an option; its name is that of the field."""
 
     parse: Parser
     help: str
@@ -113,9 +113,9 @@
 def option(
     parse: Parser, help: str, default: str | None = None, *, secret: bool = False
 ) -> Any:
-    """Declare an option as a data class field; without a default it must be given."""
-    known = Option(parse=parse, help=help, default_text=default, is_secret=secret)
-    return field(metadata={"option": known})
+    """Declare an option as a data class field; it is required if it has no default."""
+    declared = Option(parse=parse, help=help, default_text=default, is_secret=secret)
+    return field(metadata={"option": declared})
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
@@ -148,7 +148,7 @@
     )
     peer_keys: tuple[SigningKey, ...] = option(
         parse_keys,
-        "ID:HEX keys that sign what nodes and consoles say to one another; the "
+        "ID:HEX keys that sign messages between nodes and consoles; the "
         "first signs, all are accepted.",
         secret=True,
     )
@@ -166,7 +166,7 @@
     )
     stall_seconds: float = option(
         parse_seconds,
-        "Seconds without a token after which an engine's stream is read anew.",
+        "Seconds without a token after which an engine's stream is reopened.",
         "5",
     )
     max_connections: int = option(
@@ -201,7 +201,9 @@
         parse_keys, "ID:HEX keys that sign operators' sessions.", secret=True
     )
     peer_keys: tuple[SigningKey, ...] = option(
-        parse_keys, "ID:HEX keys that sign what nodes say.", secret=True
+        parse_keys,
+        "ID:HEX keys that sign messages between nodes and consoles.",
+        secret=True,
     )
     log_file: str = option(
         parse_path, "File for the log's lines; - for standard error.", "-"
@@ -209,9 +211,9 @@
 
 
 def option_of(item: dataclasses.Field[Any]) -> Option:
-    """Return what a settings class declares of a field."""
-    known: Option = item.metadata["option"]
-    return known
+    """Return the option that a settings class declares by a field."""
+    declared: Option = item.metadata["option"]
+    return declared
 
 
 def flag_name(name: str) -> str:
@@ -225,45 +227,47 @@
 
 
 def read(
-    table: type[T], flags: Mapping[str, str | None], environment: Mapping[str, str]
+    settings_class: type[T],
+    flags: Mapping[str, str | None],
+    environment: Mapping[str, str],
 ) -> Result[T, tuple[Finding, ...]]:
-    """Read settings; a flag goes before the environment, that before the default.
+    """Read settings; flags override the environment, which overrides defaults.
 
     Parameters
     ----------
-    table : type
+    settings_class : type
         A settings class of this module.
     flags : Mapping
-        Field names to the texts that were given as flags; None where not given.
+        Field names to the texts of flags; None for a flag that was not given.
     environment : Mapping
-        The process's environment.
+        The process's environment variables.
 
     Returns
     -------
     Result
-        The settings, or all findings, each with the flag or variable it is about.
+        The settings, or all findings, each with its flag or variable.
     """
     findings: list[Finding] = []
     values: dict[str, Any] = {}
-    for item in dataclasses.fields(table):  # type: ignore[arg-type]
-        known = option_of(item)
-        place, text = _find(item.name, known, flags, environment)
+    for item in dataclasses.fields(settings_class):  # type: ignore[arg-type]
+        declared = option_of(item)
+        place, text = _find_text(item.name, declared, flags, environment)
         if text is None:
-            problem = f"is needed: {known.help} (or set {variable_name(item.name)})"
+            problem = f"is needed: {declared.help} (or set {variable_name(item.name)})"
             findings.append(Finding(place=place, problem=problem))
             continue
         try:
-            values[item.name] = known.parse(text)
+            values[item.name] = declared.parse(text)
         except ValueError as exc:
             findings.append(Finding(place=place, problem=str(exc)))
     findings += _unknown_variables(environment)
     if findings:
         return Err(tuple(findings))
-    return Ok(table(**values))
+    return Ok(settings_class(**values))
 
 
 def describe(settings: object) -> list[tuple[str, str]]:
-    """Return each option's name and value for a person, with secrets hidden."""
+    """Return each option's name and printable value, with secrets hidden."""
     lines = []
     for item in dataclasses.fields(settings):  # type: ignore[arg-type]
         value = getattr(settings, item.name)
@@ -275,9 +279,9 @@
     return lines
 
 
-def _find(
+def _find_text(
     name: str,
-    known: Option,
+    declared: Option,
     flags: Mapping[str, str | None],
     environment: Mapping[str, str],
 ) -> tuple[str, str | None]:
@@ -287,15 +291,15 @@
     variable = variable_name(name)
     if variable in environment:
         return variable, environment[variable]
-    return flag_name(name), known.default_text
+    return flag_name(name), declared.default_text
 
 
 def _unknown_variables(environment: Mapping[str, str]) -> list[Finding]:
-    """Report variables with our prefix that no option has: most likely misspelt."""
+    """Report variables with the prefix that match no option; most are misspelt."""
     known = {
         variable_name(item.name)
-        for table in (NodeSettings, ConsoleSettings)
-        for item in dataclasses.fields(table)
+        for settings_class in (NodeSettings, ConsoleSettings)
+        for item in dataclasses.fields(settings_class)
     }
     return [
         Finding(place=name, problem="no option has this name")
--- a/celerytrail/status.py
+++ b/celerytrail/status.py
@@ -1,4 +1,4 @@
-"""What a node says of itself to operators: ``GET /peer/v1/status``."""
+"""The status report of a node for operators: ``GET /peer/v1/status``."""
 
 from __future__ import annotations
 
@@ -14,22 +14,22 @@
 
 STATUS_PATH = "/peer/v1/status"
 
-Part = Callable[[], Mapping[str, object]]
+StatusPart = Callable[[], Mapping[str, object]]
 
 
 class NodeStatus:
-    """Collects the state of a node's parts.
+    """Collects and serves the state of a node's components.
 
     Parameters
     ----------
     nodes : Nodes
-        The members.
+        Provides the members.
     sync : ConfigSync
-        The version in force.
+        Provides the version in force.
     leaving : LeavingBoard
-        Engines and endpoints that leave.
+        Provides the engines and endpoints that are leaving.
     keys : PeerKeys
-        Check who asks.
+        Verify the signatures of requests.
     wall : callable
         Returns the wall time, in seconds since the epoch.
     """
@@ -48,18 +48,18 @@
         self._leaving = leaving
         self._keys = keys
         self._wall = wall
-        self._parts: dict[str, Part] = {}
+        self._parts: dict[str, StatusPart] = {}
 
-    def add_part(self, name: str, part: Part) -> None:
-        """Show what ``part`` returns under a name of its own."""
+    def add_part(self, name: str, part: StatusPart) -> None:
+        """Include the result of calling ``part`` in the status under ``name``."""
         self._parts[name] = part
 
     def add_routes(self, router: Router) -> None:
-        """Add the route."""
-        router.add("GET", STATUS_PATH, self._answer)
+        """Add the status route."""
+        router.add("GET", STATUS_PATH, self._on_status)
 
     def collect(self) -> dict[str, object]:
-        """Return the whole state."""
+        """Return the node's state as JSON-compatible values."""
         me = self._nodes.me
         now = self._wall()
         members = [
@@ -92,7 +92,7 @@
             status[name] = part()
         return status
 
-    async def _answer(self, req: Request, res: Responder, params: Params) -> None:
+    async def _on_status(self, req: Request, res: Responder, params: Params) -> None:
         if not self._keys.accepts(req):
             message = "no accepted peer key signed this request"
             await send_error(
--- a/celerytrail/timeline.py
+++ b/celerytrail/timeline.py
@@ -1,4 +1,4 @@
-"""The time line: the log lines of all processes, merged into one order."""
+"""The timeline: log lines of all processes, merged and sorted by time."""
 
 from __future__ import annotations
 
@@ -26,24 +26,25 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Event:
-    """One log line.
+    """Holds one log line.
 
     Parameters
     ----------
     at : float
         Wall time in seconds since the epoch, by the clock of its process.
     process : str
-        The process that wrote it.
+        The process that wrote the line.
     task : str
-        The action it belongs to; the same in every process that took part.
+        Id of the action that the line belongs to; the same in all processes involved.
     level : tuple of int
-        Its place within the action.
+        The line's position within the action.
     name : str
-        What happened.
+        The message type or action type.
     status : str
-        ``started``, ``succeeded`` or ``failed`` for an action's ends, else empty.
+        ``started``, ``succeeded`` or ``failed`` for an action's start or end, else
+        empty.
     fields : dict
-        All else that the line says.
+        All other fields of the line.
     """
 
     at: float
@@ -55,36 +56,36 @@
     fields: dict[str, object] = field(default_factory=dict)
 
     def text(self) -> str:
-        """Return one line for a person."""
-        clock = datetime.datetime.fromtimestamp(self.at, tz=datetime.UTC)
-        stamp = clock.strftime("%H:%M:%S.%f")[:-3]
+        """Return the event as one readable line."""
+        time = datetime.datetime.fromtimestamp(self.at, tz=datetime.UTC)
+        timestamp = time.strftime("%H:%M:%S.%f")[:-3]
         details = " ".join(f"{name}={value}" for name, value in self.fields.items())
         status = f" {self.status}" if self.status else ""
-        return f"{stamp} {self.process:<12} {self.name}{status} {details}".rstrip()
+        return f"{timestamp} {self.process:<12} {self.name}{status} {details}".rstrip()
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Timeline:
-    """Events of all processes in order, and the lines that could not be read."""
+    """Holds all processes' events in order, and findings for unreadable lines."""
 
     events: tuple[Event, ...]
     findings: tuple[Finding, ...] = ()
 
     def of_request(self, request_id: str) -> Timeline:
-        """Return the events of every action that names the request.
+        """Return the events of all actions that have the request id in a field.
 
-        An action is followed into all processes it went through, and a request that
-        was taken up again under a new action is found by its id.
+        An action's id is the same in all processes it passed through, and a request
+        that was resumed under a new action is found by its request id.
         """
         tasks = {
             event.task for event in self.events if request_id in event.fields.values()
         }
-        chosen = tuple(event for event in self.events if event.task in tasks)
-        return Timeline(events=chosen, findings=self.findings)
+        selected = tuple(event for event in self.events if event.task in tasks)
+        return Timeline(events=selected, findings=self.findings)
 
 
 def read_files(paths: Iterable[Path]) -> Timeline:
-    """Read and merge log files; a line that is no log line is a finding."""
+    """Read and merge log files; each invalid line becomes a finding."""
     events: list[Event] = []
     findings: list[Finding] = []
     for path in paths:
@@ -102,7 +103,7 @@
 
 
 def as_text(timeline: Timeline) -> Iterator[str]:
-    """Return the lines of a time line for a person."""
+    """Yield the timeline as readable lines."""
     for event in timeline.events:
         yield event.text()
     for finding in timeline.findings:
--- a/celerytrail/timelinepage.py
+++ b/celerytrail/timelinepage.py
@@ -1,4 +1,4 @@
-"""The time line as an HTML page with a lane for each process."""
+"""The timeline as an HTML page with one column per process."""
 
 from __future__ import annotations
 
@@ -21,33 +21,33 @@
 
 
 def as_page(timeline: Timeline) -> str:
-    """Return a page with time downwards and a column for each process."""
+    """Return the page; time runs downwards, with one column per process."""
     processes = sorted({event.process for event in timeline.events})
     events = timeline.events[:MAX_EVENTS]
-    start = events[0].at if events else 0.0
+    start_at = events[0].at if events else 0.0
     head = "".join(f'<th scope="col">{html.escape(name)}</th>' for name in processes)
-    rows = "\n".join(_row(event, processes, start) for event in events)
-    left_out = len(timeline.events) - len(events)
-    note = f"<p>{left_out} later events are left out.</p>" if left_out else ""
+    rows = "\n".join(_row(event, processes, start_at) for event in events)
+    n_omitted = len(timeline.events) - len(events)
+    note = f"<p>{n_omitted} later events are omitted.</p>" if n_omitted else ""
     return (
         '<!DOCTYPE html>\n<html lang="en"><head><meta charset="utf-8">'
-        f"<title>celerytrail time line</title><style>{_STYLE}</style></head><body>"
-        "<h1>Time line</h1><p>Seconds since the first event; a lane a process.</p>"
+        f"<title>celerytrail timeline</title><style>{_STYLE}</style></head><body>"
+        "<h1>Timeline</h1><p>Seconds since the first event; one column per process.</p>"
         f'<table><thead><tr><th scope="col">s</th>{head}</tr></thead>'
         f"<tbody>\n{rows}\n</tbody></table>{note}</body></html>\n"
     )
 
 
-def _row(event: Event, processes: list[str], start: float) -> str:
+def _row(event: Event, processes: list[str], start_at: float) -> str:
     cells = []
     for process in processes:
         if process != event.process:
             cells.append("<td></td>")
             continue
-        kind = "failed" if event.status == "failed" else "on"
+        css_class = "failed" if event.status == "failed" else "on"
         details = " ".join(f"{name}={value}" for name, value in event.fields.items())
         cells.append(
-            f'<td class="{kind}">{html.escape(event.name)} '
+            f'<td class="{css_class}">{html.escape(event.name)} '
             f"{html.escape(event.status)} <small>{html.escape(details)}</small></td>"
         )
-    return f'<tr><td class="at">{event.at - start:.3f}</td>{"".join(cells)}</tr>'
+    return f'<tr><td class="at">{event.at - start_at:.3f}</td>{"".join(cells)}</tr>'
--- a/celerytrail/tools.py
+++ b/celerytrail/tools.py
@@ -1,4 +1,4 @@
-"""What the command line's tools for a person do: ask nodes, settle open claims."""
+"""Operators' tools of the command line: fetch nodes' status, settle open claims."""
 
 from __future__ import annotations
 
@@ -19,20 +19,20 @@
 from .status import STATUS_PATH
 from .types import Address, Finding
 
-ANSWER_SECONDS = 5.0
+ANSWER_TIMEOUT_SECONDS = 5.0
 
 
 async def fetch_status(
     nodes: Sequence[Address], keys: Sequence[SigningKey]
 ) -> tuple[list[dict[str, Any]], list[Finding]]:
-    """Ask nodes for their state; returns the answers and who gave none."""
+    """Fetch nodes' status; returns the answers, and a finding per node without one."""
     client = HttpClient(process="status")
     peer_keys = PeerKeys(keys=[key.secret for key in keys])
     headers = peer_keys.headers("GET", STATUS_PATH, b"")
-    found: list[dict[str, Any]] = []
+    statuses: list[dict[str, Any]] = []
     findings: list[Finding] = []
     for node in nodes:
-        deadline = SystemClock().monotonic() + ANSWER_SECONDS
+        deadline = SystemClock().monotonic() + ANSWER_TIMEOUT_SECONDS
         answer = await client.request(
             node, "GET", STATUS_PATH, headers=headers, deadline=deadline
         )
@@ -44,21 +44,21 @@
             findings.append(Finding(place=str(node), problem=problem))
         else:
             body = answer.ok_value.body
-            found.append(msgspec.json.decode(body, type=dict[str, Any]))
+            statuses.append(msgspec.json.decode(body, type=dict[str, Any]))
     client.close()
-    return found, findings
+    return statuses, findings
 
 
-class ClaimDesk:
-    """Lists the claims whose outcome nobody knows, and settles them.
+class ClaimSettler:
+    """Lists the claims whose outcome is unknown, and settles them.
 
-    A filing whose answer was lost stays unknown until a person has looked at the
-    endpoint's own books; nothing here may guess, since a wrong guess files twice.
+    A call whose answer was lost stays unknown until a person has checked the endpoint's
+    own records. The outcome is never guessed, as a wrong guess would run it twice.
 
     Parameters
     ----------
     platform : sequence of Address
-        Where the platform listens.
+        The addresses of the platform.
     """
 
     def __init__(self, *, platform: Sequence[Address]) -> None:
@@ -73,34 +73,34 @@
         )
 
     async def list_open(self) -> Result[list[OpenClaim], Finding]:
-        """Return all open claims, reading page after page of all claims.
+        """Return all open claims, reading every page of the claims.
 
-        Finished claims stand between them for days; one page alone would hide most
-        open ones from whoever has to settle them.
+        Finished claims are kept for days and fill most pages, so a single page would
+        omit most open claims.
         """
-        found: list[OpenClaim] = []
+        open_claims: list[OpenClaim] = []
         after = ""
         while True:
             listed = await self._sweeper.open_claims(self._deadline(), after=after)
             if isinstance(listed, Err):
                 return Err(Finding(place="platform", problem=listed.err_value.reason))
             page = listed.ok_value
-            found.extend(page.claims)
+            open_claims.extend(page.claims)
             if page.next_after is None:
-                return Ok(found)
+                return Ok(open_claims)
             after = page.next_after
 
     async def settle(
         self, row_key: str, verdict: Verdict, by: str
     ) -> Result[None, Finding]:
-        """Record what a person found out of one open claim."""
+        """Record the outcome of an open claim as a person determined it."""
         listed = await self.list_open()
         if isinstance(listed, Err):
             return Err(listed.err_value)
-        for opened in listed.ok_value:
-            if opened.row_key == row_key:
+        for open_claim in listed.ok_value:
+            if open_claim.row_key == row_key:
                 return await self._sweeper.settle(
-                    opened, verdict, by=by, deadline=self._deadline()
+                    open_claim, verdict, by=by, deadline=self._deadline()
                 )
         problem = "no open claim has this key; its call may still be running"
         return Err(Finding(place=row_key, problem=problem))
@@ -110,4 +110,4 @@
         self._client.close()
 
     def _deadline(self) -> float:
-        return self._clock.monotonic() + ANSWER_SECONDS
+        return self._clock.monotonic() + ANSWER_TIMEOUT_SECONDS
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,4 +1,4 @@
-"""Settings that hold for every test: no verdict hangs on the machine's speed."""
+"""Configuration of all tests; results don't depend on the machine's speed."""
 
 from __future__ import annotations
 
@@ -10,8 +10,8 @@
 
 from tests.knownred import KNOWN_RED, known_red_tests
 
-# Hypothesis measures how long drawing and running take; on a busy machine that alone
-# would fail a test. What is drawn is the same in every run.
+# Hypothesis fails tests whose examples are slow to generate or run, which happens on a
+# busy machine. The generated examples are the same in every run.
 settings.register_profile(
     "same-verdict",
     deadline=None,
@@ -22,32 +22,33 @@
 
 
 def pytest_collection_modifyitems(config, items):
-    """Pass over the tests that are known to be red, and set virtual time."""
-    pass_over_known_red(config, items)
-    set_virtual_time(items)
+    """Deselect the tests known to fail, and set the start of virtual time."""
+    deselect_known_red(config, items)
+    set_virtual_start(items)
 
 
-def pass_over_known_red(config, items):
-    """Deselect exactly the tests that are listed as known to be red."""
+def deselect_known_red(config, items):
+    """Deselect exactly the tests listed in KNOWN-RED.txt."""
     path = Path(config.rootpath) / KNOWN_RED
     listed = known_red_tests(path.read_text()) if path.exists() else set()
-    found = [item for item in items if item.nodeid in listed]
-    is_whole_run = config.args == config.getini("testpaths")
-    missing = listed - {item.nodeid for item in found}
-    if missing and is_whole_run and not config.option.keyword:
-        raise pytest.UsageError(f"{KNOWN_RED} names no test: {sorted(missing)}")
-    if found:
+    deselected = [item for item in items if item.nodeid in listed]
+    is_full_run = config.args == config.getini("testpaths")
+    missing = listed - {item.nodeid for item in deselected}
+    if missing and is_full_run and not config.option.keyword:
+        raise pytest.UsageError(
+            f"{KNOWN_RED} lists tests that do not exist: {sorted(missing)}"
+        )
+    if deselected:
         items[:] = [item for item in items if item.nodeid not in listed]
-        config.hook.pytest_deselected(items=found)
+        config.hook.pytest_deselected(items=deselected)
 
 
-def set_virtual_time(items):
-    """Let virtual time go on from where the fixtures' real time was.
+def set_virtual_start(items):
+    """Start each test's virtual time at the machine's monotonic time.
 
-    Fixtures run before a test's virtual time begins, on the machine's own clock, which
-    counts from its start. Were virtual time to begin at 0, every clock would jump back
-    between fixture and test by as long as the machine has been up; a test of sessions
-    failed once that was over an hour.
+    Fixtures run before virtual time begins, on the machine's clock, which counts from
+    boot. If virtual time began at 0, all clocks would jump back between fixture and
+    test by the machine's uptime; a test of sessions failed when that exceeded an hour.
     """
     for item in items:
         marker = item.get_closest_marker("looptime")
--- a/tests/knownred.py
+++ b/tests/knownred.py
@@ -1,4 +1,4 @@
-"""The list of tests that fail for a known fault."""
+"""The format of KNOWN-RED.txt, the list of tests that fail because of known faults."""
 
 from __future__ import annotations
 
@@ -6,6 +6,6 @@
 
 
 def known_red_tests(text: str) -> set[str]:
-    """Return the ids of the listed tests, the first field of each line."""
+    """Return the ids of the listed tests: the first field of each line."""
     lines = [line.strip() for line in text.splitlines()]
     return {line.split(" | ")[0] for line in lines if line and not line.startswith("#")}
--- a/tests/test_layout.py
+++ b/tests/test_layout.py
@@ -1,4 +1,4 @@
-"""The packages and who may import whom."""
+"""Rules for imports between the packages."""
 
 import ast
 from pathlib import Path
@@ -8,18 +8,18 @@
 import celerytrail
 
 ROOT = Path(celerytrail.__file__).parent
-# Decisions must be drivable by themselves: no sockets, no peer, no platform.
-DECISIONS = {"policies": {"configuration", "model", "types"}}
-PLUMBING = {"http": {"exceptions", "types"}}
+# Policies must run in isolation: without sockets, peers or the platform.
+POLICY_IMPORTS = {"policies": {"configuration", "model", "types"}}
+HTTP_IMPORTS = {"http": {"exceptions", "types"}}
 
 
 def unit_of(path: Path) -> str:
-    """Return the package, or the loose module, that a file belongs to."""
+    """Return the package or top-level module that a file belongs to."""
     return path.relative_to(ROOT).with_suffix("").parts[0]
 
 
 def imported_units(path: Path) -> set[str]:
-    """Return the packages and loose modules of this project that a file imports."""
+    """Return the packages and top-level modules of this project that a file imports."""
     package = ("celerytrail", *path.relative_to(ROOT).parts[:-1])
     found = set()
     for node in ast.walk(ast.parse(path.read_text(encoding="utf-8"))):
@@ -37,38 +37,40 @@
     return found
 
 
-def units() -> dict[str, set[str]]:
-    """Return what each package or loose module imports of the others."""
+def import_graph() -> dict[str, set[str]]:
+    """Return the packages and top-level modules that each one imports."""
     graph: dict[str, set[str]] = {}
     for path in ROOT.rglob("*.py"):
         graph.setdefault(unit_of(path), set()).update(imported_units(path))
-    return {unit: others - {unit} for unit, others in graph.items()}
+    return {unit: imported - {unit} for unit, imported in graph.items()}
 
 
 def reachable(graph: dict[str, set[str]], start: str) -> set[str]:
     seen: set[str] = set()
-    left = [start]
-    while left:
-        for other in graph.get(left.pop(), ()):
-            if other not in seen:
-                seen.add(other)
-                left.append(other)
+    pending = [start]
+    while pending:
+        for unit in graph.get(pending.pop(), ()):
+            if unit not in seen:
+                seen.add(unit)
+                pending.append(unit)
     return seen
 
 
 class TestPackages:
-    def test_no_circle(self):
-        graph = units()
-        circles = [unit for unit in graph if unit in reachable(graph, unit)]
-        assert circles == []
-
-    @pytest.mark.parametrize("unit, allowed", [*DECISIONS.items(), *PLUMBING.items()])
-    def test_foundations_import_no_peer(self, unit, allowed):
-        assert units()[unit] <= allowed
-
-    def test_the_platforms_names_stay_in_its_adapter(self):
-        """A header or path of the platform that is spelled out elsewhere would have to
-        be found and changed there as well; a newcomer could not tell where to look.
+    def test_no_import_cycle(self):
+        graph = import_graph()
+        in_cycles = [unit for unit in graph if unit in reachable(graph, unit)]
+        assert in_cycles == []
+
+    @pytest.mark.parametrize(
+        "unit, allowed", [*POLICY_IMPORTS.items(), *HTTP_IMPORTS.items()]
+    )
+    def test_foundations_import_only_what_is_allowed(self, unit, allowed):
+        assert import_graph()[unit] <= allowed
+
+    def test_platform_names_occur_only_in_the_adapter(self):
+        """The platform's headers and paths are defined in one package, so that a change
+        of the platform's interface concerns that package alone.
         """
         names = (
             "x-response-seal",
@@ -77,11 +79,11 @@
             "x-kv-backup",
             "/api/",
         )
-        outside = [
+        occurrences = [
             str(path.relative_to(ROOT))
             for path in ROOT.rglob("*.py")
             if unit_of(path) != "platform"
             for name in names
             if name in path.read_text(encoding="utf-8").lower()
         ]
-        assert outside == []
+        assert occurrences == []
--- a/tests/test_promises_page.py
+++ b/tests/test_promises_page.py
@@ -1,4 +1,4 @@
-"""The page of promises names only proofs that exist."""
+"""docs/PROMISES.md refers only to scenarios and tests that exist."""
 
 from __future__ import annotations
 
@@ -12,49 +12,49 @@
 TEST = re.compile(r"tests/[^\s`]+\.py(?:::[^\s`]+)?")
 
 
-def names_in(path):
-    """Return the tests of a file as the page names them, and the file itself."""
+def references_to(path):
+    """Return the references to a test file and to each of its tests."""
     relative = path.relative_to(ROOT).as_posix()
-    found = {relative}
-    for one in ast.parse(path.read_text(encoding="utf-8")).body:
-        if isinstance(one, ast.ClassDef):
-            found |= {
-                f"{relative}::{one.name}::{method.name}"
-                for method in one.body
+    references = {relative}
+    for stmt in ast.parse(path.read_text(encoding="utf-8")).body:
+        if isinstance(stmt, ast.ClassDef):
+            references |= {
+                f"{relative}::{stmt.name}::{method.name}"
+                for method in stmt.body
                 if isinstance(method, ast.FunctionDef | ast.AsyncFunctionDef)
                 and method.name.startswith("test_")
             }
-    return found
+    return references
 
 
-def missing_proofs(text):
-    """Return what a page names that does not exist, sorted."""
-    named = {*SCENARIO.findall(text), *TEST.findall(text)}
+def broken_references(text):
+    """Return a page's references to scenarios and tests that don't exist, sorted."""
+    references = {*SCENARIO.findall(text), *TEST.findall(text)}
     existing = {
         path.relative_to(ROOT).as_posix() for path in ROOT.glob("scenarios/*.scn")
     }
     for path in ROOT.glob("tests/test_*.py"):
-        existing |= names_in(path)
-    return sorted(named - existing)
+        existing |= references_to(path)
+    return sorted(references - existing)
 
 
 class TestPromisesPage:
-    def test_every_named_proof_exists(self):
-        """A scenario or test is renamed or taken away and the page still names it.
-        Whoever relies on the page believes a promise proved that no longer is.
+    def test_every_referenced_test_exists(self):
+        """A scenario or test was renamed or removed, and the page still refers to it
+        as the evidence for a promise.
         """
         text = PAGE.read_text(encoding="utf-8")
         assert SCENARIO.search(text)
         assert TEST.search(text)
-        assert missing_proofs(text) == []
+        assert broken_references(text) == []
 
-    def test_a_proof_that_is_gone_is_named(self):
+    def test_a_missing_test_is_reported(self):
         text = (
             "`scenarios/gone.scn` `tests/test_gone.py` "
             "`tests/test_fuzz.py::TestFuzz::test_gone` "
             "`tests/test_fuzz.py::TestFuzz::test_fixed_seed`"
         )
-        assert missing_proofs(text) == [
+        assert broken_references(text) == [
             "scenarios/gone.scn",
             "tests/test_fuzz.py::TestFuzz::test_gone",
             "tests/test_gone.py",
--- a/tests/test_timeline.py
+++ b/tests/test_timeline.py
@@ -1,4 +1,4 @@
-"""The time line made from several processes' logs."""
+"""The timeline merged from several processes' logs."""
 
 from __future__ import annotations
 
@@ -31,14 +31,14 @@
 
 
 class TestMerge:
-    def test_events_of_all_processes_in_order_of_time(self, tmp_path):
+    def test_events_of_all_processes_are_sorted_by_time(self, tmp_path):
         write_log(tmp_path / "a", "node-a", [(3.0, "t", "later", {})])
         write_log(tmp_path / "b", "node-b", [(1.0, "t", "first", {"n": 4})])
-        found = timeline.read_files([tmp_path / "a", tmp_path / "b"])
-        assert [event.name for event in found.events] == ["first", "later"]
-        assert "node-b" in next(timeline.as_text(found))
+        merged = timeline.read_files([tmp_path / "a", tmp_path / "b"])
+        assert [event.name for event in merged.events] == ["first", "later"]
+        assert "node-b" in next(timeline.as_text(merged))
 
-    def test_one_request_is_followed_through_all_processes(self, tmp_path):
+    def test_a_request_is_followed_through_all_processes(self, tmp_path):
         write_log(
             tmp_path / "a",
             "node-a",
@@ -46,26 +46,26 @@
         )
         write_log(tmp_path / "b", "engine", [(1.5, "t1", "generated", {})])
         write_log(tmp_path / "c", "node-c", [(4.0, "t3", "again", {"from": "r1"})])
-        found = timeline.read_files([tmp_path / name for name in "abc"])
-        names = [event.name for event in found.of_request("r1").events]
+        merged = timeline.read_files([tmp_path / name for name in "abc"])
+        names = [event.name for event in merged.of_request("r1").events]
         assert names == ["asked", "generated", "again"]
 
-    def test_half_a_line_is_a_finding_and_the_rest_is_shown(self, tmp_path):
-        """A process was killed while it wrote its log. Its last line is cut; the
-        person who looks for the cause still gets all the others.
+    def test_a_truncated_line_is_a_finding_and_the_rest_is_read(self, tmp_path):
+        """A process was killed while it wrote its log, so its last line is truncated.
+        All other lines must still be shown.
         """
         log = tmp_path / "a"
         write_log(log, "node-a", [(1.0, "t", "whole", {})])
         log.write_text(log.read_text() + '{"timestamp": 2.0, "task_')
-        found = timeline.read_files([log])
-        assert [event.name for event in found.events] == ["whole"]
-        assert [str(finding) for finding in found.findings] == ["a:2: no log line"]
+        merged = timeline.read_files([log])
+        assert [event.name for event in merged.events] == ["whole"]
+        assert [str(finding) for finding in merged.findings] == ["a:2: no log line"]
 
 
 class TestPage:
-    def test_what_a_log_says_is_escaped(self, tmp_path):
-        """A caller puts markup into a name that is logged. The page must show it as
-        text and never run it.
+    def test_logged_text_is_escaped(self, tmp_path):
+        """A caller sends markup in a name that is logged. The page must show it as
+        text.
         """
         event = (1.0, "t", "asked", {"model": "<script>alert(1)</script>"})
         write_log(tmp_path / "a", "node-a", [event])
@@ -75,9 +75,9 @@
 
 
 class TestAcrossProcesses:
-    def test_the_next_process_carries_on_the_action(self):
-        written = io.StringIO()
-        destination = eliot.FileDestination(file=written)
+    def test_the_next_process_continues_the_action(self):
+        output = io.StringIO()
+        destination = eliot.FileDestination(file=output)
         eliot.add_destinations(destination)
         try:
             with start_action(action_type="request") as action:
@@ -88,8 +88,8 @@
                 pass
         finally:
             eliot.remove_destination(destination)
-        lines = [json.loads(line) for line in written.getvalue().splitlines()]
-        # Other tests' lines may be flushed first: eliot keeps them for whoever listens.
+        lines = [json.loads(line) for line in output.getvalue().splitlines()]
+        # eliot buffers other tests' lines and writes them to a new destination first.
         tasks = [
             line["task_uuid"]
             for line in lines
--- a/tests/test_tools.py
+++ b/tests/test_tools.py
@@ -1,4 +1,4 @@
-"""The command line's tools for a person."""
+"""The command line's operator tools."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 from celerytrail.cmdline import app
 from celerytrail.platform.table import PRODUCT_TABLE
 from celerytrail.services.claims import CLAIM_PREFIX, Claim
-from celerytrail.tools import ClaimDesk
+from celerytrail.tools import ClaimSettler
 from celerytrail.types import Address
 from standins.platform import PlatformStandin
 
@@ -41,49 +41,49 @@
     standin.store.put(PRODUCT_TABLE, name, msgspec.to_builtins(claim))
 
 
-class TestClaimDesk:
+class TestClaimSettler:
     async def test_open_claim_is_listed_and_settled_once(self, standin):
-        """A filing's answer was lost and nobody knows whether it ran. A person looks
-        it up at the endpoint and says so; then it is open no more.
+        """The answer to a call was lost, and an operator checks its outcome at the
+        endpoint. Settling the claim closes it, and a second verdict is rejected.
         """
         row = f"{CLAIM_PREFIX}o/k"
         put_claim(standin, row, seconds_late=4_000)
-        desk = ClaimDesk(platform=(standin.server.address,))
-        listed = await desk.list_open()
-        assert [one.row_key for one in listed.ok_value] == [row]
-        assert (await desk.settle(row, "not_run", "ana")).is_ok()
-        assert (await desk.list_open()).ok_value == []
-        again = await desk.settle(row, "answered", "ben")
-        assert again.err_value.place == row
-        desk.close()
+        settler = ClaimSettler(platform=(standin.server.address,))
+        listed = await settler.list_open()
+        assert [claim.row_key for claim in listed.ok_value] == [row]
+        assert (await settler.settle(row, "not_run", "ana")).is_ok()
+        assert (await settler.list_open()).ok_value == []
+        second = await settler.settle(row, "answered", "ben")
+        assert second.err_value.place == row
+        settler.close()
 
-    async def test_open_claim_behind_many_finished_ones(self, standin):
-        """Finished claims are kept for days. The one open claim stands behind pages of
-        them, and the person who has to settle it must still find it.
+    async def test_open_claim_is_found_behind_pages_of_finished_ones(self, standin):
+        """Finished claims are kept for days and fill whole pages. An open claim on a
+        later page must still be listed.
         """
         for number in range(250):
             row = f"{CLAIM_PREFIX}a/{number:03}"
             put_claim(standin, row, seconds_late=4_000, state="not_run")
-        last = f"{CLAIM_PREFIX}o/k"
-        put_claim(standin, last, seconds_late=4_000)
-        desk = ClaimDesk(platform=(standin.server.address,))
-        listed = await desk.list_open()
-        assert [one.row_key for one in listed.ok_value] == [last]
-        desk.close()
+        open_row = f"{CLAIM_PREFIX}o/k"
+        put_claim(standin, open_row, seconds_late=4_000)
+        settler = ClaimSettler(platform=(standin.server.address,))
+        listed = await settler.list_open()
+        assert [claim.row_key for claim in listed.ok_value] == [open_row]
+        settler.close()
 
-    async def test_call_that_may_still_run_is_not_settled(self, standin):
-        """Its deadline is not over: were it settled as not run now, a retry and the
-        slow first attempt could both file.
+    async def test_call_before_its_deadline_is_not_settled(self, standin):
+        """If a call is settled as not run before its deadline, a retry and the slow
+        first attempt can both run it.
         """
         row = f"{CLAIM_PREFIX}o/k"
         put_claim(standin, row, seconds_late=-60)
-        desk = ClaimDesk(platform=(standin.server.address,))
-        assert (await desk.settle(row, "not_run", "ana")).is_err()
-        desk.close()
+        settler = ClaimSettler(platform=(standin.server.address,))
+        assert (await settler.settle(row, "not_run", "ana")).is_err()
+        settler.close()
 
 
 class TestCommands:
-    def test_wrong_input_is_told_with_its_place(self):
+    def test_invalid_input_is_reported_with_its_place(self):
         outcome = CliRunner().invoke(
             app,
             ["claims", "settle", "r", "--verdict", "perhaps", "--by", "a"],
