--- a/celerytrail/configuration/fetch.py
+++ b/celerytrail/configuration/fetch.py
@@ -1,4 +1,4 @@
-"""Fetching the configuration's objects, from peers where it can, else the platform."""
+"""Fetching of the configuration's objects, from peers first, else the platform."""
 
 from __future__ import annotations
 
@@ -19,13 +19,13 @@
 from .sections import digest_of
 
 OBJECT_PATH = "/peer/v1/objects/"
-TRY_SECONDS = 1.0
-STORE_SECONDS = 2.0
+PEER_TIMEOUT_SECONDS = 1.0
+OBJECT_STORE_TIMEOUT_SECONDS = 2.0
 N_RANDOM_PEERS = 3
 
 
 class PeerAuth(Protocol):
-    """What signs requests to peers and checks theirs, such as ``nodes.PeerKeys``."""
+    """Signs requests to peers and verifies theirs; ``nodes.PeerKeys`` implements it."""
 
     def headers(self, method: str, path: str, body: bytes) -> dict[str, str]:
         """Return the headers that sign a request."""
@@ -35,28 +35,27 @@
 
 
 class ObjectFetcher:
-    """Gets an object by its digest from whoever has it, checked against the digest.
+    """Fetches objects by digest from peers or the platform, and verifies them.
 
-    Peers come before the platform where one is known to have the object: 330 nodes
-    that fetch three objects for each change in the same second would otherwise take
-    half of what the platform can read.
+    Peers known to hold an object are tried before the platform: 330 nodes that fetch
+    three objects per change within one second would use half of the platform's reads.
 
     Parameters
     ----------
     objects : ObjectStore
-        The platform's.
+        The platform's object store.
     client : HttpClient
-        For asking peers.
+        Sends the requests to peers.
     auth : PeerAuth
-        Signs the requests to them.
+        Signs them.
     peers : callable
         Returns the peer addresses of the other live nodes.
     clock : Clock
         Monotonic time for deadlines.
     rng : random.Random
-        Chooses among peers.
+        Samples peers.
     metrics : Metrics
-        Counts bad objects.
+        Counts damaged objects.
     """
 
     def __init__(
@@ -89,33 +88,33 @@
         digest : str
             SHA-256 of the object, in hex.
         holders : iterable of Address
-            Peers that said they have the version it belongs to; asked first.
+            Peers that report the version it belongs to; tried first.
         """
-        asked = list(holders)
-        for address in asked:
-            data = await self._from_peer(address, digest)
+        tried = list(holders)
+        for address in tried:
+            data = await self._get_from_peer(address, digest)
             if data is not None:
                 return Ok(data)
-        data = await self._from_platform(digest)
+        data = await self._get_from_platform(digest)
         if data is not None:
             return Ok(data)
-        for address in self.some_peers():
-            if address not in asked:
-                data = await self._from_peer(address, digest)
+        for address in self.sample_peers():
+            if address not in tried:
+                data = await self._get_from_peer(address, digest)
                 if data is not None:
                     return Ok(data)
         problem = "neither the peers asked nor the platform gave it"
         return Err(Finding(place=f"object {digest}", problem=problem))
 
-    def some_peers(self) -> list[Address]:
-        """Return a few peers, drawn anew each time."""
+    def sample_peers(self) -> list[Address]:
+        """Return up to `N_RANDOM_PEERS` peers, sampled at each call."""
         peers = list(self._peers())
         return self._rng.sample(peers, min(N_RANDOM_PEERS, len(peers)))
 
-    async def ask(self, address: Address, path: str) -> bytes | None:
-        """Return what a peer answers to a signed GET, or None."""
+    async def request_peer(self, address: Address, path: str) -> bytes | None:
+        """Send a signed GET to a peer; return the body of a 200 answer, else None."""
         headers: Mapping[str, str] = self._auth.headers("GET", path, b"")
-        deadline = self._clock.monotonic() + TRY_SECONDS
+        deadline = self._clock.monotonic() + PEER_TIMEOUT_SECONDS
         answer = await self._client.request(
             address, "GET", path, headers=headers, deadline=deadline
         )
@@ -124,24 +123,24 @@
                 return res.body
         return None
 
-    async def _from_peer(self, address: Address, digest: str) -> bytes | None:
-        data = await self.ask(address, OBJECT_PATH + digest)
+    async def _get_from_peer(self, address: Address, digest: str) -> bytes | None:
+        data = await self.request_peer(address, OBJECT_PATH + digest)
         if data is None or not self._is_genuine(data, digest, str(address)):
             return None
         self.n_bytes["peer"] += len(data)
         return data
 
-    async def _from_platform(self, digest: str) -> bytes | None:
-        deadline = self._clock.monotonic() + STORE_SECONDS
-        got = await self._objects.get(object_name(digest), deadline)
-        data = got.ok_value if isinstance(got, Ok) else None
+    async def _get_from_platform(self, digest: str) -> bytes | None:
+        deadline = self._clock.monotonic() + OBJECT_STORE_TIMEOUT_SECONDS
+        read = await self._objects.get(object_name(digest), deadline)
+        data = read.ok_value if isinstance(read, Ok) else None
         if data is None or not self._is_genuine(data, digest, "platform"):
             return None
         self.n_bytes["platform"] += len(data)
         return data
 
     def _is_genuine(self, data: bytes, digest: str, source: str) -> bool:
-        """Check an object; a damaged one is dropped and the next source asked."""
+        """Return whether an object matches its digest; report it if not."""
         if digest_of(data) == digest:
             return True
         log_message("configuration:bad_object", digest=digest, source=source)
--- a/celerytrail/configuration/sync.py
+++ b/celerytrail/configuration/sync.py
@@ -1,8 +1,8 @@
-"""Bringing accepted versions into force in a node: heard of, fetched, checked, applied.
+"""Discovery, fetching, checking and applying of accepted versions in a node.
 
-A node hears of versions from three sides: gossip, its own rare reads of the head row,
-and the console that accepted one. Any of them alone is enough, and none is believed
-further than the content addresses reach.
+A node learns of versions from three sources: gossip, its own infrequent reads of the
+head row, and a hint from the console that accepted the version. Each alone is enough.
+None is trusted beyond what the content addresses verify.
 """
 
 from __future__ import annotations
@@ -36,21 +36,21 @@
 HEAD_PATH = "/peer/v1/config/head"
 HINT_PATH = "/peer/v1/config/hint"
 
-# All nodes together read the head row this often, which is a 25th of the
-# platform's reads; each node alone still hears of a version within its 7 seconds.
-READS_PER_SECOND = 80.0
+# Limit for all nodes together: a 25th of the platform's reads. Polling alone still
+# gets a version to each node within the required 7 s.
+TOTAL_HEAD_READS_PER_SECOND = 80.0
 MIN_POLL_SECONDS = 2.0
-POLL_READ_SECONDS = 2.0
-BOOT_SECONDS = 0.5
-RETRY_FIRST_SECONDS = 0.2
-RETRY_MOST_SECONDS = 5.0
+HEAD_READ_TIMEOUT_SECONDS = 2.0
+BOOT_POLL_SECONDS = 0.5
+RETRY_INITIAL_SECONDS = 0.2
+RETRY_MAX_SECONDS = 5.0
 
 Announce = Callable[[int, str], None]
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class _Rejected:
-    """Why a version did not come into force; ``is_final`` where a retry can't help."""
+    """Why a version was not applied; ``is_final`` if a retry can't succeed."""
 
     findings: tuple[Finding, ...]
     is_final: bool = False
@@ -62,17 +62,17 @@
     Parameters
     ----------
     configuration : Configuration
-        What is in force; versions are offered to it.
+        The current document; loaded versions are offered to it.
     table : Table
-        Holds the head row.
+        Contains the head row.
     fetcher : ObjectFetcher
-        Gets objects.
+        Fetches objects.
     auth : PeerAuth
-        Checks the requests of peers.
+        Authenticates requests of peers.
     n_nodes : callable
-        Returns how many nodes there are, by which polling is thinned out.
+        Returns the number of nodes; the polling interval grows with it.
     announce : callable
-        Told (version, root) of each version that came into force.
+        Called with (version, root) after a version is applied.
     clock : Clock
         Monotonic time for deadlines.
     rng : random.Random
@@ -105,24 +105,24 @@
         self._metrics = metrics
         self._tree = Tree(sections={})
         self._targets = Targets()
-        self._refused: tuple[int, str] | None = None
-        self._other_root = ""
-        self._old_head_told = 0
-        self._news = asyncio.Event()
+        self._rejected_target: tuple[int, str] | None = None
+        self._conflicting_root = ""
+        self._old_head_reported_version = 0
+        self._targets_changed = asyncio.Event()
         self._tasks: list[asyncio.Task[None]] = []
 
     @property
     def version(self) -> int:
-        """Return the version in force; 0 before the first one."""
+        """Return the current version; 0 before the first one."""
         return self._configuration.current.version
 
     @property
     def root(self) -> str:
-        """Return the root's digest of the version in force; empty before any."""
+        """Return the root digest of the current version; empty before the first."""
         return self._tree.root if self.version else ""
 
     async def start(self) -> None:
-        """Begin to poll and to apply."""
+        """Start the polling and applying tasks."""
         loop = asyncio.get_running_loop()
         self._tasks = [
             loop.create_task(self._poll_forever()),
@@ -130,7 +130,7 @@
         ]
 
     async def stop(self) -> None:
-        """Stop both; what is in force stays."""
+        """Cancel both tasks; the current version stays applied."""
         for task in self._tasks:
             task.cancel()
         if self._tasks:
@@ -144,35 +144,41 @@
         *,
         is_accepted: bool = False,
     ) -> None:
-        """Take note of a version somebody has in force or the platform accepted."""
+        """Record a version that a peer has applied or the platform accepted."""
         if version < 1 or not is_digest(root):
-            self._bad("version", f"version {version!r} with root {root!r}")
+            self._report_bad_input("version", f"version {version!r} with root {root!r}")
             return
         if version <= self.version:
-            # Old news: a frozen node's gossip, a stale read. Only another root under
-            # the version in force is worth a word, as it should be impossible.
-            if version == self.version and root not in (self.root, self._other_root):
-                self._other_root = root
-                self._bad("other_root", f"version {version} also has root {root}")
+            # Old versions arrive in gossip of a node that was frozen and in stale
+            # reads. Only a second root for the current version is reported, as one
+            # version has one root.
+            if version == self.version and root not in (
+                self.root,
+                self._conflicting_root,
+            ):
+                self._conflicting_root = root
+                self._report_bad_input(
+                    "other_root", f"version {version} also has root {root}"
+                )
             return
-        if (version, root) == self._refused:
+        if (version, root) == self._rejected_target:
             return
         if self._targets.add(version, root, holder, is_accepted=is_accepted):
-            self._news.set()
+            self._targets_changed.set()
 
-    # Serving peers.
+    # Requests of peers.
 
     def add_routes(self, router: Router) -> None:
-        """Add the routes by which peers ask for versions and objects."""
-        router.add("GET", HEAD_PATH, self._answer_head)
-        router.add("GET", OBJECT_PATH + "{digest}", self._answer_object)
-        router.add("POST", HINT_PATH, self._answer_hint)
+        """Add the routes on which peers request versions and objects."""
+        router.add("GET", HEAD_PATH, self._on_head_request)
+        router.add("GET", OBJECT_PATH + "{digest}", self._on_object_request)
+        router.add("POST", HINT_PATH, self._on_hint)
 
-    async def _answer_head(self, req: Request, res: Responder, _: Params) -> None:
+    async def _on_head_request(self, req: Request, res: Responder, _: Params) -> None:
         if await self._is_peer(req, res):
             await res.send_json(200, {"version": self.version, "root": self.root})
 
-    async def _answer_object(
+    async def _on_object_request(
         self, req: Request, res: Responder, params: Params
     ) -> None:
         if not await self._is_peer(req, res):
@@ -184,8 +190,8 @@
             return
         await res.send(200, data, {"content-type": "application/json"})
 
-    async def _answer_hint(self, req: Request, res: Responder, _: Params) -> None:
-        """Take a console's word that a version was just accepted."""
+    async def _on_hint(self, req: Request, res: Responder, _: Params) -> None:
+        """Record a version that a console reports as just accepted."""
         if not await self._is_peer(req, res):
             return
         hint = self._read_hint(req.body)
@@ -199,126 +205,128 @@
     async def _is_peer(self, req: Request, res: Responder) -> bool:
         if self._auth.accepts(req):
             return True
-        self._bad("signature", f"unsigned request from {req.peer}")
+        self._report_bad_input("signature", f"unsigned request from {req.peer}")
         message = "no accepted peer key signed this request"
         await send_error(
             res, 403, "bad_signature", place="x-peer-signature", message=message
         )
         return False
 
-    # Hearing of versions.
+    # Discovery of versions.
 
     async def _poll_forever(self) -> None:
         while True:
             try:
                 await self.poll()
             except Exception as exc:
-                # A fault met once must not end the polling for good: the node would
-                # serve by an old version, and nobody would notice.
-                self._bad("poll_failed", repr(exc))
+                # An unexpected error must not end polling: the node would serve an
+                # old version without anybody noticing.
+                self._report_bad_input("poll_failed", repr(exc))
             await asyncio.sleep(self._poll_seconds())
 
     async def poll(self) -> None:
-        """Read the head row once; ask peers where the platform does not answer."""
-        deadline = self._clock.monotonic() + POLL_READ_SECONDS
+        """Read the head row once, or peers' versions if the platform fails."""
+        deadline = self._clock.monotonic() + HEAD_READ_TIMEOUT_SECONDS
         read = await self._table.read([HEAD_KEY], deadline)
         if isinstance(read, Err):
-            await self._ask_peers()
+            await self._poll_peers()
             return
         row = read.ok_value.get(HEAD_KEY)
         if row is None:
             if self.version:
-                self._tell_old_head(0)
+                self._report_old_head(0)
             return
         head = read_head(row.value, row.key)
         if isinstance(head, Err):
-            self._bad("head", str(head.err_value))
+            self._report_bad_input("head", str(head.err_value))
             return
         if head.ok_value.version < self.version:
-            self._tell_old_head(head.ok_value.version)
+            self._report_old_head(head.ok_value.version)
         self.hear(head.ok_value.version, head.ok_value.root, is_accepted=True)
 
-    async def _ask_peers(self) -> None:
-        """Ask a few peers which version they have.
+    async def _poll_peers(self) -> None:
+        """Request the current version of a few peers.
 
-        A node that boots while the platform is down would otherwise stay without a
-        document, and refuse every caller, until the platform is back.
+        Without it a node that boots during a platform outage has no document and
+        refuses every caller until the outage ends.
         """
-        for address in self._fetcher.some_peers():
-            data = await self._fetcher.ask(address, HEAD_PATH)
+        for address in self._fetcher.sample_peers():
+            data = await self._fetcher.request_peer(address, HEAD_PATH)
             hint = self._read_hint(data) if data is not None else None
             if hint is not None and hint.version > 0:
                 self.hear(hint.version, hint.root, address)
 
     def _poll_seconds(self) -> float:
         if self.version == 0:
-            return BOOT_SECONDS * self._rng.uniform(0.5, 1.5)
-        mean = max(MIN_POLL_SECONDS, self._n_nodes() / READS_PER_SECOND)
+            return BOOT_POLL_SECONDS * self._rng.uniform(0.5, 1.5)
+        mean = max(MIN_POLL_SECONDS, self._n_nodes() / TOTAL_HEAD_READS_PER_SECOND)
         return mean * self._rng.uniform(0.75, 1.25)
 
     def _read_hint(self, data: bytes) -> _Hint | None:
         try:
             return msgspec.json.decode(data, type=_Hint)
         except msgspec.MsgspecError as exc:
-            self._bad("hint", str(exc))
+            self._report_bad_input("hint", str(exc))
             return None
 
-    def _tell_old_head(self, version: int) -> None:
-        """Report, once for each, a head row older than what is in force."""
-        if self._old_head_told != self.version:
-            self._old_head_told = self.version
+    def _report_old_head(self, version: int) -> None:
+        """Report a head row older than the current version, once per version."""
+        if self._old_head_reported_version != self.version:
+            self._old_head_reported_version = self.version
             log_message("configuration:old_head", head=version, in_force=self.version)
             self._metrics.count("bad_input", peer="platform", problem="old_head")
 
-    # Applying them.
+    # Applying of versions.
 
     async def _apply_forever(self) -> None:
         n_failures = 0
         while True:
-            self._news.clear()
+            self._targets_changed.clear()
             if await self._apply_newest():
                 n_failures = 0
                 continue
             if not len(self._targets):
                 n_failures = 0
-                await self._news.wait()
+                await self._targets_changed.wait()
                 continue
             n_failures += 1
             pause = full_jitter(
                 self._rng,
                 n_failures,
-                first=RETRY_FIRST_SECONDS,
-                most=RETRY_MOST_SECONDS,
+                first=RETRY_INITIAL_SECONDS,
+                most=RETRY_MAX_SECONDS,
             )
-            # Another version, or the first peer that has this one, is worth a try now.
+            # A new version, or the first holder of a known one, ends the backoff.
             try:
                 async with asyncio.timeout(pause):
-                    await self._news.wait()
+                    await self._targets_changed.wait()
             except TimeoutError:
                 pass
 
     async def _apply_newest(self) -> bool:
-        """Try the versions heard of; returns whether one came into force."""
-        for target in self._targets.ordered():
+        """Try the known targets in order; return whether one was applied."""
+        for target in self._targets.by_priority():
             try:
-                made = await self._load(target)
+                loaded = await self._load(target)
             except Exception as exc:
                 finding = Finding(place=f"version {target.version}", problem=repr(exc))
-                made = Err(_Rejected(findings=(finding,)))
-            if isinstance(made, Ok):
-                self._put_in_force(target, made.ok_value)
+                loaded = Err(_Rejected(findings=(finding,)))
+            if isinstance(loaded, Ok):
+                self._apply(target, loaded.ok_value)
                 return True
-            rejected = made.err_value
+            rejected = loaded.err_value
             for finding in rejected.findings:
-                self._bad("version_refused", str(finding), version=target.version)
+                self._report_bad_input(
+                    "version_refused", str(finding), version=target.version
+                )
             if rejected.is_final:
-                self._refused = (target.version, target.root)
+                self._rejected_target = (target.version, target.root)
                 self._targets.drop(target)
             else:
-                self._targets.note_failure(target)
+                self._targets.record_failure(target)
         return False
 
-    def _put_in_force(self, target: Target, loaded: _Loaded) -> None:
+    def _apply(self, target: Target, loaded: _Loaded) -> None:
         self._tree = loaded.tree
         self._configuration.offer(
             VersionedDocument(version=target.version, document=loaded.document)
@@ -327,20 +335,20 @@
         self._announce(target.version, target.root)
 
     async def _load(self, target: Target) -> Result[_Loaded, _Rejected]:
-        """Fetch what differs from the version in force, and check the whole."""
+        """Fetch the objects that differ from the current tree and check the result."""
         loader = TreeLoader(
             get=lambda digest: self._fetcher.get(digest, target.holders),
             held=(self._tree,),
         )
-        made = await loader.load(target.root)
-        if isinstance(made, Err):
-            failure = made.err_value
+        loaded = await loader.load(target.root)
+        if isinstance(loaded, Err):
+            failure = loaded.err_value
             if isinstance(failure, Misfit):
                 return Err(_Rejected(findings=failure.findings, is_final=True))
             return Err(_Rejected(findings=(failure,)))
-        tree = made.ok_value
-        # Each of these steps takes some milliseconds at 6,400 organisations; callers'
-        # tokens go on in between.
+        tree = loaded.ok_value
+        # Each step takes some milliseconds at 6,400 organisations. Yielding between
+        # them lets the event loop deliver callers' tokens.
         await asyncio.sleep(0)
         document = tree.document()
         await asyncio.sleep(0)
@@ -351,7 +359,7 @@
         return Ok(_Loaded(tree=tree, document=document))
 
     async def _check(self, tree: Tree, document: Document) -> tuple[Finding, ...]:
-        """Check what changed, or the whole where others may refer to what changed."""
+        """Check changed entries, or the whole if other entries may reference them."""
         changed = tree.changed_since(self._tree)
         if self.version and changed.keys() <= {"organisations", "engines"}:
             return findings_of_changes(
@@ -365,18 +373,22 @@
             await asyncio.sleep(0)
         return tuple(findings)
 
-    def _bad(self, problem: str, detail: str, **fields: object) -> None:
+    def _report_bad_input(self, problem: str, detail: str, **fields: object) -> None:
         self._metrics.count("bad_input", peer="configuration", problem=problem)
         log_message("configuration:bad_input", problem=problem, detail=detail, **fields)
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class _Hint:
+    """A version and its root, as peers and consoles send them."""
+
     version: int
     root: str
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class _Loaded:
+    """A checked version, ready to be applied."""
+
     tree: Tree
     document: Document
--- a/celerytrail/configuration/targets.py
+++ b/celerytrail/configuration/targets.py
@@ -1,4 +1,4 @@
-"""The versions a node has heard of and has not in force yet; pure bookkeeping."""
+"""The versions that a node knows of and has not applied yet; no input or output."""
 
 from __future__ import annotations
 
@@ -13,20 +13,20 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Target:
-    """A version to bring into force.
+    """A version to fetch and apply.
 
     Parameters
     ----------
     version : int
-        Its number.
+        The version number.
     root : str
-        The digest of its root.
+        The root's digest.
     holders : tuple of Address
-        Peers that said they have it in force.
+        Peers that report it as their current version.
     is_accepted : bool
-        Whether the platform's head row said so, not only a peer.
+        Whether the platform's head row names it, and not only a peer.
     n_failures : int
-        Tries that failed so far.
+        Failed attempts so far.
     """
 
     version: int
@@ -37,10 +37,10 @@
 
 
 class Targets:
-    """The newest few versions heard of.
+    """The `MAX_TARGETS` best-ranked known versions that aren't applied yet.
 
-    Several are kept because one may be wrong: were only the highest kept, a peer with
-    a fault that names a version nobody has would keep this node from every real one.
+    Several are kept because one may be wrong: with only the highest kept, a faulty
+    peer that names a nonexistent version would block every real one.
     """
 
     def __init__(self) -> None:
@@ -52,46 +52,50 @@
     def add(
         self, version: int, root: str, holder: Address | None, *, is_accepted: bool
     ) -> bool:
-        """Note a version; returns whether it, or its first holder, is news."""
+        """Record a version; return whether it or its first holder is new."""
         key = (version, root)
-        old = self._targets.get(key)
-        target = old or Target(version=version, root=root)
+        known = self._targets.get(key)
+        target = known or Target(version=version, root=root)
         if is_accepted:
             target = replace(target, is_accepted=True)
         if holder is not None and holder not in target.holders:
-            # The latest is put first: it has the version now.
+            # The newest holder comes first: it has the version at this moment.
             holders = (holder, *target.holders)[:MAX_HOLDERS]
             target = replace(target, holders=holders)
         self._targets[key] = target
         while len(self._targets) > MAX_TARGETS:
-            del self._targets[min(self._targets, key=self._rank)]
-        is_news = old is None or (bool(target.holders) and not old.holders)
-        return is_news and key in self._targets
+            del self._targets[min(self._targets, key=self._priority)]
+        is_new = known is None or (bool(target.holders) and not known.holders)
+        return is_new and key in self._targets
 
-    def ordered(self) -> list[Target]:
-        """Return them by the order in which to try them."""
-        keys = sorted(self._targets, key=self._rank, reverse=True)
+    def by_priority(self) -> list[Target]:
+        """Return the targets in the order in which to try them."""
+        keys = sorted(self._targets, key=self._priority, reverse=True)
         return [self._targets[key] for key in keys]
 
-    def note_failure(self, target: Target) -> None:
-        """Count a failed try; after `MAX_FAILURES` it must be heard of again."""
+    def record_failure(self, target: Target) -> None:
+        """Count a failed attempt; `MAX_FAILURES` of them remove the target.
+
+        It returns when a peer or the platform reports it again.
+        """
         key = (target.version, target.root)
-        now = self._targets.get(key)
-        if now is None:
+        current = self._targets.get(key)
+        if current is None:
             return
-        self._targets[key] = replace(now, n_failures=now.n_failures + 1)
+        self._targets[key] = replace(current, n_failures=current.n_failures + 1)
         if self._targets[key].n_failures >= MAX_FAILURES:
             del self._targets[key]
 
     def drop(self, target: Target) -> None:
-        """Forget a version."""
+        """Remove a target."""
         self._targets.pop((target.version, target.root), None)
 
     def drop_up_to(self, version: int) -> None:
-        """Forget what is not above a version."""
+        """Remove the targets up to and including a version."""
         for key in [key for key in self._targets if key[0] <= version]:
             del self._targets[key]
 
-    def _rank(self, key: tuple[int, str]) -> tuple[bool, int, str]:
-        # What the platform accepted goes before what peers say, whatever its number.
+    def _priority(self, key: tuple[int, str]) -> tuple[bool, int, str]:
+        # Versions that the platform accepted come before those that only peers report,
+        # whatever their numbers.
         return (self._targets[key].is_accepted, *key)
--- a/celerytrail/configuration/treeloader.py
+++ b/celerytrail/configuration/treeloader.py
@@ -1,4 +1,4 @@
-"""Loading a version's tree from wherever its objects can be had."""
+"""Loading of a version's tree from trees in memory and fetched objects."""
 
 from __future__ import annotations
 
@@ -20,25 +20,25 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Misfit:
-    """An object is genuine but does not fit; asking for it again can't help."""
+    """An object matches its digest but its content is invalid, so no retry helps."""
 
     findings: tuple[Finding, ...]
 
 
 class TreeLoader(Generic[E]):
-    """Loads one tree, taking from other trees what they have in common.
+    """Loads one tree and reuses the objects it shares with trees in memory.
 
     Parameters
     ----------
     get : callable
         Returns an object's bytes by its digest.
     held : sequence of Tree
-        Trees that are in memory already.
+        Trees that are already in memory.
     """
 
     def __init__(self, *, get: GetObject[E], held: Sequence[Tree] = ()) -> None:
-        self._get = get
-        self._held = held
+        self._fetch_object = get
+        self._cached_trees = held
 
     async def load(self, root: str) -> Result[Tree, E | Misfit]:
         """Load the tree with this root."""
@@ -56,7 +56,7 @@
             return Err(sections.err_value)
         tree = Tree(sections=sections.ok_value)
         if tree.root != root:
-            # Peers could not be given these objects again under their names.
+            # This node couldn't serve these objects to peers under their digests.
             problem = "its root names indexes that are not in canonical form"
             return Err(
                 Misfit(findings=(Finding(place=f"object {root}", problem=problem),))
@@ -66,7 +66,7 @@
     async def _load_index(
         self, name: str, digest: str
     ) -> Result[dict[str, str], E | Misfit]:
-        data = await self._find(digest)
+        data = await self._get_object(digest)
         if isinstance(data, Err):
             return Err(data.err_value)
         index = read_index(data.ok_value, name, digest)
@@ -80,9 +80,9 @@
         sections: dict[str, Section] = {}
         missing: list[tuple[str, str]] = []
         for name, digest in digests.items():
-            held = self._held_section(digest)
-            if held is not None and held.name == name:
-                sections[name] = held
+            cached = self._cached_section(digest)
+            if cached is not None and cached.name == name:
+                sections[name] = cached
             else:
                 missing.append((name, digest))
         for start in range(0, len(missing), N_PARALLEL):
@@ -97,7 +97,7 @@
     async def _load_section(
         self, name: str, digest: str
     ) -> Result[Section, E | Misfit]:
-        data = await self._find(digest)
+        data = await self._get_object(digest)
         if isinstance(data, Err):
             return Err(data.err_value)
         section = read_section(data.ok_value, name, digest)
@@ -105,16 +105,16 @@
             return Err(Misfit(findings=section.err_value))
         return Ok(section.ok_value)
 
-    def _held_section(self, digest: str) -> Section | None:
-        for tree in self._held:
+    def _cached_section(self, digest: str) -> Section | None:
+        for tree in self._cached_trees:
             section = tree.section(digest)
             if section is not None:
                 return section
         return None
 
-    async def _find(self, digest: str) -> Result[bytes, E]:
-        for tree in self._held:
+    async def _get_object(self, digest: str) -> Result[bytes, E]:
+        for tree in self._cached_trees:
             data = tree.get(digest)
             if data is not None:
                 return Ok(data)
-        return await self._get(digest)
+        return await self._fetch_object(digest)
