--- a/celerytrail/configuration/__init__.py
+++ b/celerytrail/configuration/__init__.py
@@ -1,1 +1,1 @@
-"""The configuration: the document, its sections, and how nodes come by them."""
+"""The configuration: the document, its sections and their distribution to nodes."""
--- a/celerytrail/configuration/collector.py
+++ b/celerytrail/configuration/collector.py
@@ -1,9 +1,9 @@
-"""Keeping Python's garbage collector from walking over the document again and again.
+"""Exclusion of the document from Python's cyclic garbage collection.
 
-At 6,400 organisations and 2,000 engines a full collection stops the event loop for
-about 40 ms, which every stream of the node sees as a gap between two tokens. The
-document has no cycles, so the collector can never find anything in it; frozen, it is
-passed over, and is still freed by its reference counts.
+At 6,400 organisations and 2,000 engines a full collection blocks the event loop for
+about 40 ms, which appears as a gap between two tokens in every stream of the node. The
+document has no cycles, so collections can't free anything in it. Once frozen it is
+skipped by them, and reference counting still frees it.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 from .current import Configuration
 from .document import VersionedDocument
 
-# Below this, a collection is over in a few milliseconds anyway.
+# With fewer entries a collection takes only a few milliseconds.
 MIN_ENTRIES = 500
 
 
@@ -25,25 +25,25 @@
 ) -> None:
     """Freeze each document that has at least twice the entries of the last frozen one.
 
-    Freezing at every version would also keep, for good, whatever cyclic garbage there
-    is at that moment; with the doubling it is done a handful of times in a process.
+    Freezing also keeps any cyclic garbage of that moment forever, so it isn't done at
+    every version. Doubling limits it to a few times per process.
 
     Parameters
     ----------
     configuration : Configuration
-        Whose documents to freeze.
+        The configuration whose documents are frozen.
     freeze : callable or None
-        For tests; by default a full collection and then ``gc.freeze``.
+        Replaces the default, a full collection and then ``gc.freeze``, in tests.
     """
-    n_frozen = 0
+    n_frozen_entries = 0
     freeze = freeze or _collect_and_freeze
 
     def on_version(new: VersionedDocument) -> None:
-        nonlocal n_frozen
+        nonlocal n_frozen_entries
         document = new.document
         n_entries = len(document.organisations) + len(document.engines)
-        if n_entries >= max(MIN_ENTRIES, 2 * n_frozen):
-            n_frozen = n_entries
+        if n_entries >= max(MIN_ENTRIES, 2 * n_frozen_entries):
+            n_frozen_entries = n_entries
             freeze()
             log_message("configuration:frozen", n_entries=n_entries)
 
--- a/celerytrail/configuration/current.py
+++ b/celerytrail/configuration/current.py
@@ -1,4 +1,4 @@
-"""The configuration a process has in force: it only ever moves upwards."""
+"""The current configuration of a process; its version never decreases."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class Configuration:
-    """Holds the newest accepted document that this process knows of."""
+    """Holds the newest accepted document that this process has loaded."""
 
     def __init__(self) -> None:
         self._current = VersionedDocument()
@@ -20,20 +20,20 @@
 
     @property
     def current(self) -> VersionedDocument:
-        """Return what is in force; version 0 is an empty document."""
+        """Return the current version and document; version 0 is an empty document."""
         return self._current
 
     def offer(self, newer: VersionedDocument) -> bool:
-        """Put a document in force where its version is higher.
+        """Apply a document if its version is higher than the current one.
 
-        A node that was frozen, a read that was served stale and a peer that still
-        gossips an old version all bring old documents late. Were one of them taken,
-        an accepted change would revert; so anything not newer is dropped.
+        Old documents arrive late from a node that was frozen, a stale read or a peer
+        that still gossips an old version. Applying one would revert an accepted change,
+        so anything that isn't newer is dropped.
 
         Returns
         -------
         bool
-            Whether it was taken.
+            Whether it was applied.
         """
         if newer.version <= self._current.version:
             return False
@@ -44,5 +44,5 @@
         return True
 
     def subscribe(self, subscriber: Subscriber) -> None:
-        """Call ``subscriber`` with each document that comes into force."""
+        """Call ``subscriber`` with each document when it is applied."""
         self._subscribers.append(subscriber)
--- a/celerytrail/configuration/document.py
+++ b/celerytrail/configuration/document.py
@@ -1,8 +1,8 @@
-"""The operators' one document: its frozen types and its JSON form.
+"""The operators' document: its frozen types and its JSON form.
 
-The console edits it, ``operators/validation.py`` checks it, the platform keeps it and
-every node serves by the newest one it has. Lists are tuples so that a document can't
-change under a reader.
+The console edits it, ``configuration/validation.py`` checks it, the platform stores it
+and every node applies the newest accepted version it knows. Lists are tuples, so that a
+document can't change while it is read.
 """
 
 from __future__ import annotations
@@ -18,16 +18,16 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class ModelSpec:
-    """A model that callers can name.
+    """A model that callers can request.
 
     Parameters
     ----------
     name : str
         The name callers use.
     version : str
-        The version of the weights that is in force.
+        The current version of the weights.
     n_context_tokens : int
-        The most tokens a prompt and its output may hold together.
+        Limit of prompt and output tokens together.
     """
 
     name: str
@@ -46,22 +46,22 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class OrganisationSpec:
-    """An organisation, what it may use and how much of it.
+    """An organisation with its keys, permissions and limits.
 
     Parameters
     ----------
     name : str
-        Its name, as shown to operators.
+        The name shown to operators.
     key_digests : tuple of str
-        SHA-256, in hex, of each API key it may use. Keys themselves are never kept.
+        SHA-256, in hex, of each of its API keys. Keys themselves are never stored.
     priority : int
-        0 (lowest) to 9 (highest); engines honour it.
+        0 (lowest) to 9 (highest); applied by the engines.
     weight : float
-        Its share of a crowded engine, relative to the others.
+        Its share of a saturated engine, relative to other organisations.
     n_tokens_per_second : int or None
-        Limit on generated tokens over all nodes; None for none.
+        Limit on generated tokens per second over all nodes; None for no limit.
     n_concurrent : int or None
-        Limit on generations at one time over all nodes; None for none.
+        Limit on concurrent generations over all nodes; None for no limit.
     models : tuple of str
         Models it may use; empty for all.
     services : tuple of str
@@ -80,14 +80,14 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class EngineSpec:
-    """A model engine: where it is and what it should serve.
+    """A model engine: its location and what it should serve.
 
     Parameters
     ----------
     name : str
-        Its name, unique in the document.
+        The name, unique in the document.
     address : str
-        ``IP:PORT`` it listens on.
+        ``IP:PORT`` on which it listens.
     failure_domain, region, vm : str
         Where it runs.
     model : str
@@ -95,9 +95,9 @@
     adapters : tuple of str
         Names of the adapters it should have loaded.
     role : {"serve", "drain"}
-        Whether it gets new work.
+        Whether it receives new work; ``drain`` for no.
     fencing : {"honoured", "ignored"}
-        Whether it refuses an order that carries an old fencing number.
+        Whether it refuses orders with an outdated fencing token.
     """
 
     name: str
@@ -118,10 +118,10 @@
     Parameters
     ----------
     name : str
-        The last part of its path.
+        The last segment of its path.
     idempotent : bool
-        Whether running it twice does no harm. Where it does, callers must send an
-        idempotency key and it runs at most once for that key.
+        Whether it can safely run twice. If not, callers must send an idempotency key,
+        and it runs at most once for each key.
     """
 
     name: str
@@ -151,7 +151,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Document:
-    """The single statement of intent."""
+    """The configuration of the whole system, as operators define it."""
 
     models: tuple[ModelSpec, ...] = ()
     adapters: tuple[AdapterSpec, ...] = ()
@@ -162,7 +162,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class VersionedDocument:
-    """A document and the version under which it was accepted; 0 is none yet."""
+    """A document and its accepted version; 0 is the empty document before the first."""
 
     version: int = 0
     document: Document = field(default_factory=Document)
@@ -174,11 +174,11 @@
 
 
 def decode(data: bytes) -> Document:
-    """Read a document's JSON; unknown fields are left to validation.
+    """Decode a document's JSON; validation reports unknown fields, this doesn't.
 
     Raises
     ------
     msgspec.ValidationError
-        When a field has the wrong type; its message names the place.
+        If a field has the wrong type; the message names its place.
     """
     return msgspec.json.decode(data, type=Document)
--- a/celerytrail/configuration/records.py
+++ b/celerytrail/configuration/records.py
@@ -1,4 +1,4 @@
-"""The rows and object names under which the platform keeps the configuration."""
+"""The row keys and object names of the configuration at the platform."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 def history_key(version: int) -> str:
-    """Return the key of a version's row; keys sort as versions do."""
+    """Return the key of a version's history row; keys sort in order of versions."""
     return f"{HISTORY_PREFIX}{version:010}"
 
 
@@ -29,22 +29,23 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Head:
-    """An accepted version: what the head row and its history row say.
+    """An accepted version, as stored in the head row and its history row.
 
     Parameters
     ----------
     version : int
-        1 for the first accepted document, then one more for each.
+        The version number, from 1 and increasing by 1.
     root : str
         The digest of the document's root object.
     operation_id : str
-        The id that the operator's form carried; by it a lost reply is settled.
+        The id from the operator's form. After a lost reply it shows whether the
+        operation was carried out.
     author : str
-        The operator who had it accepted.
+        The operator who submitted it.
     at : float
         Wall time of acceptance, in seconds since the epoch.
     note : str
-        Why, in the operator's words.
+        The operator's reason for the change.
     """
 
     version: int
@@ -56,7 +57,7 @@
 
 
 def read_head(value: object, place: str) -> Result[Head, Finding]:
-    """Read a head or history row; rows come from outside and are checked."""
+    """Read and check a head or history row; the platform's rows aren't trusted."""
     try:
         head = msgspec.convert(value, Head)
     except msgspec.ValidationError as exc:
--- a/celerytrail/configuration/sections.py
+++ b/celerytrail/configuration/sections.py
@@ -1,10 +1,11 @@
-"""The document as a tree of content-addressed objects, so that a change ships little.
-
-Entries fall into sections by a hash of their key, sections into indexes, indexes into
-one root. An object is named by the SHA-256 of its bytes; a change of one organisation
-makes one new section, one new index and one new root, and 330 nodes fetch those three
-instead of a document of megabytes. Sections are encoded canonically (sorted by key),
-so a node keeps no bytes: it encodes a section again when a peer asks for it.
+"""The document as a tree of content-addressed objects.
+
+Entries are assigned to sections by a hash of their key, sections to indexes, and
+indexes to one root. An object's name is the SHA-256 of its bytes. A change of one
+organisation makes one new section, index and root, and 330 nodes fetch these three
+objects instead of a document of several megabytes. The encoding of sections is
+canonical (sorted by key), so nodes keep no encoded sections: they encode one again when
+a peer requests it.
 """
 
 from __future__ import annotations
@@ -24,7 +25,8 @@
 
 FORMAT = 1
 SECTIONS_PER_INDEX = 16
-# Measured: bytes shipped for one change are least near the square root of the whole.
+# The bytes sent for one change are fewest if the number of sections is near the square
+# root of the number of entries.
 N_SECTIONS = {
     "models": 16,
     "adapters": 64,
@@ -33,13 +35,13 @@
     "services": 16,
 }
 
-_KINDS = get_type_hints(Document)
+_FIELD_TYPES = get_type_hints(Document)
 _ITEM_TYPES: dict[str, Any] = {
-    field.name: get_args(_KINDS[field.name])[0] for field in fields(Document)
+    field.name: get_args(_FIELD_TYPES[field.name])[0] for field in fields(Document)
 }
 
 
-# The order of each list in a document; quicker than by `item_key`.
+# Sort key of each list in a document; faster than `item_key`.
 _SORT_KEYS: dict[str, Callable[[Any], Any]] = {
     kind: attrgetter("name") for kind in _ITEM_TYPES
 }
@@ -52,7 +54,7 @@
 
 
 def item_key(kind: str, item: Any) -> str:
-    """Return what tells an entry from the others of its kind."""
+    """Return the key of an entry, unique within its kind."""
     if kind == "adapters":
         return f"{item.model}:{item.name}"
     return str(item.name)
@@ -72,7 +74,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Section:
-    """Some entries of one kind, sorted by key.
+    """The entries of one kind that share a hash bucket, sorted by key.
 
     Parameters
     ----------
@@ -90,23 +92,23 @@
 
     @property
     def kind(self) -> str:
-        """Return the kind of its entries."""
+        """Return the kind of the entries, such as ``organisations``."""
         return self.name.partition("/")[0]
 
     def encode(self) -> bytes:
-        """Return its bytes; they are the same wherever they are made."""
+        """Return the canonical encoding, the same on every node."""
         return msgspec.json.encode({"section": self.name, "items": self.items})
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Index:
-    """The digests of some sections, or of the indexes (then it is the root)."""
+    """The digests of a group of sections or, in the root, of all indexes."""
 
     name: str
     digests: Mapping[str, str]
 
     def encode(self) -> bytes:
-        """Return its bytes; they are the same wherever they are made."""
+        """Return the canonical encoding, the same on every node."""
         digests = dict(sorted(self.digests.items()))
         value = {"index": self.name, "format": FORMAT, "digests": digests}
         return msgspec.json.encode(value)
@@ -116,7 +118,7 @@
 
 
 class Tree:
-    """A document's sections with the indexes over them.
+    """A document's sections, their indexes and the root.
 
     Parameters
     ----------
@@ -144,7 +146,7 @@
 
     @classmethod
     def of(cls, document: Document) -> Tree:
-        """Split a document."""
+        """Split a document into sections."""
         grouped: dict[str, dict[str, Any]] = {}
         for kind in _ITEM_TYPES:
             for item in getattr(document, kind):
@@ -157,7 +159,7 @@
         return cls(sections=sections)
 
     def document(self) -> Document:
-        """Put the document together, each list sorted by name."""
+        """Assemble the document, each list sorted by name."""
         lists: dict[str, list[Any]] = {kind: [] for kind in _ITEM_TYPES}
         for section in self.sections.values():
             lists[section.kind].extend(section.items)
@@ -166,23 +168,23 @@
         return Document(**{kind: tuple(items) for kind, items in lists.items()})
 
     def changed_since(self, older: Tree) -> dict[str, list[Any]]:
-        """Return the entries that are new or differ, by kind.
+        """Return the added and modified entries by kind.
 
-        A kind that only lost entries is there with an empty list.
+        A kind whose entries were only removed is included with an empty list.
         """
         changed: dict[str, list[Any]] = {}
         for name in self.sections.keys() | older.sections.keys():
-            now, was = self.sections.get(name), older.sections.get(name)
-            if now is not None and was is not None and now.digest == was.digest:
+            new, old = self.sections.get(name), older.sections.get(name)
+            if new is not None and old is not None and new.digest == old.digest:
                 continue
             entries = changed.setdefault(name.partition("/")[0], [])
-            if now is not None:
-                known = set(was.items) if was is not None else set()
-                entries.extend(item for item in now.items if item not in known)
+            if new is not None:
+                old_items = set(old.items) if old is not None else set()
+                entries.extend(item for item in new.items if item not in old_items)
         return changed
 
     def get(self, digest: str) -> bytes | None:
-        """Return an object's bytes by its name, or None."""
+        """Return an object's bytes by its digest, or None."""
         data = self._indexes.get(digest)
         if data is not None:
             return data
@@ -194,47 +196,58 @@
         return self._by_digest.get(digest)
 
     def digests(self) -> Iterator[str]:
-        """Yield the names of all objects, the root's last."""
+        """Yield the digests of all objects, the root's last."""
         yield from self._by_digest
         yield from self._indexes
 
 
 def make_section(name: str, items: tuple[Any, ...]) -> Section:
-    """Make a section of entries that are sorted by key."""
-    unnamed = Section(name=name, digest="", items=items)
-    return Section(name=name, digest=digest_of(unnamed.encode()), items=items)
+    """Make a section from entries sorted by key."""
+    without_digest = Section(name=name, digest="", items=items)
+    return Section(name=name, digest=digest_of(without_digest.encode()), items=items)
 
 
 def read_index(
     data: bytes, name: str, digest: str
 ) -> Result[Index, tuple[Finding, ...]]:
-    """Read an index or the root, checking it against its digest and its name."""
-    value = _read(data, digest, f"object {digest}")
+    """Decode an index or the root, and check its digest and name."""
+    value = _decode_object(data, digest, f"object {digest}")
     if isinstance(value, Err):
         return value
     match value.ok_value:
-        case {"index": found, "format": int(form), "digests": dict(digests)}:
-            if form != FORMAT:
-                return _bad(digest, f"has format {form}; this program reads {FORMAT}")
-            if found != name:
-                return _bad(digest, f"is index {found!r}, where {name!r} was expected")
-            if all(_is_part(name, part, held) for part, held in digests.items()):
+        case {
+            "index": found_name,
+            "format": int(found_format),
+            "digests": dict(digests),
+        }:
+            if found_format != FORMAT:
+                return _object_error(
+                    digest, f"has format {found_format}; this program reads {FORMAT}"
+                )
+            if found_name != name:
+                return _object_error(
+                    digest, f"is index {found_name!r}, where {name!r} was expected"
+                )
+            if all(
+                _is_valid_child(name, child, child_digest)
+                for child, child_digest in digests.items()
+            ):
                 return Ok(Index(name=name, digests=digests))
-    return _bad(digest, "is not an index")
+    return _object_error(digest, "is not an index")
 
 
 def read_section(
     data: bytes, name: str, digest: str
 ) -> Result[Section, tuple[Finding, ...]]:
-    """Read a section, checking its digest, its name and each of its entries."""
-    value = _read(data, digest, f"section {name}")
+    """Decode a section, and check its digest, its name and each of its entries."""
+    value = _decode_object(data, digest, f"section {name}")
     if isinstance(value, Err):
         return value
     match value.ok_value:
-        case {"section": found, "items": list(raw)} if found == name:
+        case {"section": found_name, "items": list(raw)} if found_name == name:
             pass
         case _:
-            return _bad(digest, f"is not section {name}")
+            return _object_error(digest, f"is not section {name}")
     kind = name.partition("/")[0]
     findings: list[Finding] = []
     items = build_list(_ITEM_TYPES[kind], raw, kind, findings)
@@ -243,15 +256,17 @@
     section = make_section(name, items)
     keys = [item_key(kind, item) for item in items]
     if section.digest != digest or keys != sorted(set(keys)):
-        # A section that this program would write differently could not be handed on
-        # to peers under its name; and one of a newer program could lose fields here.
-        return _bad(digest, f"section {name} is not in canonical form")
+        # A section that this program encodes differently couldn't be served to peers
+        # under its digest, and one of a newer program could lose fields here.
+        return _object_error(digest, f"section {name} is not in canonical form")
     if any(section_name(kind, key) != name for key in keys):
-        return _bad(digest, f"section {name} holds entries of other sections")
+        return _object_error(digest, f"section {name} holds entries of other sections")
     return Ok(section)
 
 
-def _read(data: bytes, digest: str, place: str) -> Result[Any, tuple[Finding, ...]]:
+def _decode_object(
+    data: bytes, digest: str, place: str
+) -> Result[Any, tuple[Finding, ...]]:
     if digest_of(data) != digest:
         problem = f"its content does not have the digest {digest}"
         return Err((Finding(place=place, problem=problem),))
@@ -261,16 +276,16 @@
         return Err((Finding(place=place, problem=f"is not JSON: {exc}"),))
 
 
-def _is_part(index: str, part: object, digest: object) -> bool:
-    """Return whether an index may name this part by this digest."""
-    if not isinstance(part, str) or not is_digest(digest):
+def _is_valid_child(index: str, child: object, digest: object) -> bool:
+    """Return whether an index may contain this child (section or index) and digest."""
+    if not isinstance(child, str) or not is_digest(digest):
         return False
-    kind, _, number = part.partition("/")
+    kind, _, number = child.partition("/")
     if kind not in N_SECTIONS or not number.isdecimal() or len(number) > 4:
         return False
     if not int(number) < N_SECTIONS[kind] or number != str(int(number)):
         return False
-    return index == ROOT or index_name(part) == index
+    return index == ROOT or index_name(child) == index
 
 
 def is_digest(value: object) -> bool:
@@ -280,5 +295,5 @@
     return all(char in "0123456789abcdef" for char in value)
 
 
-def _bad(digest: str, problem: str) -> Err[tuple[Finding, ...]]:
+def _object_error(digest: str, problem: str) -> Err[tuple[Finding, ...]]:
     return Err((Finding(place=f"object {digest}", problem=problem),))
--- a/celerytrail/configuration/validation.py
+++ b/celerytrail/configuration/validation.py
@@ -1,4 +1,4 @@
-"""Validation of the operators' document: all findings at once, each with its place."""
+"""Validation of the operators' document: all findings at once, with their places."""
 
 from __future__ import annotations
 
@@ -19,20 +19,21 @@
 
 
 def validate(data: bytes | str | Document) -> Validated:
-    """Check a document, given as JSON text or as the frozen types.
+    """Check a document, given as JSON text or in the frozen types.
 
     Parameters
     ----------
     data : bytes, str or Document
-        What to check.
+        The document to check.
 
     Returns
     -------
     Result of Document or tuple of Finding
-        The document, or everything that is wrong with it (at most `MAX_FINDINGS`).
+        The document, or its findings: up to `MAX_FINDINGS`, and one that counts the
+        rest.
     """
     if isinstance(data, Document):
-        return _finish(data, findings_of(data))
+        return _to_result(data, findings_of(data))
     if len(data) > MAX_DOCUMENT_BYTES:
         problem = f"is over {MAX_DOCUMENT_BYTES} bytes"
         return Err((Finding(place="document", problem=problem),))
@@ -44,28 +45,29 @@
 
 
 def validate_value(value: object, findings: list[Finding] | None = None) -> Validated:
-    """Check a document given as decoded JSON, after ``findings`` made before."""
+    """Check a document given as decoded JSON; earlier ``findings`` come first."""
     found = list(findings or ())
     document = build(Document, value, "", found)
     return finish(document, found)
 
 
 def finish(document: Document, findings: list[Finding]) -> Validated:
-    """Check a document whose entries were built, after ``findings`` made by that."""
+    """Check a built document; ``findings`` are those of building it."""
     found = list(findings)
     places = [finding.place for finding in findings]
     for finding in findings_of(document):
-        # What does not fit was replaced by a stand-in, of which nothing is told.
-        if not any(_covers(place, finding.place) for place in places):
+        # Values that didn't convert were replaced by defaults, whose findings would
+        # mislead.
+        if not any(_contains_place(place, finding.place) for place in places):
             found.append(finding)
-    return _finish(document, tuple(found))
+    return _to_result(document, tuple(found))
 
 
-def _covers(outer: str, inner: str) -> bool:
+def _contains_place(outer: str, inner: str) -> bool:
     return inner == outer or inner.startswith((f"{outer}.", f"{outer}["))
 
 
-def _finish(document: Document, findings: tuple[Finding, ...]) -> Validated:
+def _to_result(document: Document, findings: tuple[Finding, ...]) -> Validated:
     if not findings:
         return Ok(document)
     if len(findings) > MAX_FINDINGS:
@@ -76,11 +78,11 @@
 
 
 def _parse(data: bytes | str, findings: list[Finding]) -> Any:
-    def pairs(items: list[tuple[str, object]]) -> dict[str, object]:
+    def unique_pairs(items: list[tuple[str, object]]) -> dict[str, object]:
         found = dict(items)
         if len(found) < len(items):
-            # JSON readers differ in which of two equal names they take, so what the
-            # operator sees need not be what comes into force.
+            # JSON readers differ in which of two equal names they use, so the operator
+            # might see another value than the one that is applied.
             names = [name for name, _ in items]
             twice = sorted({name for name in names if names.count(name) > 1})
             place = str(found.get("name", "document"))[:80]
@@ -88,11 +90,13 @@
             findings.append(Finding(place=place, problem=problem))
         return found
 
-    def constant(text: str) -> object:
+    def reject_constant(text: str) -> object:
         raise ValueError(f"{text} is not JSON")
 
     try:
-        return json.loads(data, object_pairs_hook=pairs, parse_constant=constant)
+        return json.loads(
+            data, object_pairs_hook=unique_pairs, parse_constant=reject_constant
+        )
     except json.JSONDecodeError as exc:
         place = f"document, line {exc.lineno}, column {exc.colno}"
         findings.append(Finding(place=place, problem=f"is not JSON: {exc.msg}"))
