--- a/tests/test_configsync_fuzz.py
+++ b/tests/test_configsync_fuzz.py
@@ -1,4 +1,4 @@
-"""Versions, outages, freezes and old news in any order: no node ever goes back."""
+"""Versions, outages, freezes and old versions in any order: no node ever reverts."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 import looptime
 from hypothesis import given, settings
 from hypothesis import strategies as st
-from test_configsync import NodeUnderTest, World, document
+from test_configsync import Cluster, NodeUnderTest, document
 
 from celerytrail.types import Address
 
@@ -17,7 +17,7 @@
     st.tuples(
         st.sampled_from(
             ["accept", "accept", "down", "objects down", "up", "freeze", "thaw"]
-            + ["old news", "false news", "stale", "restart", "deaf", "wait"]
+            + ["old version", "invented version", "stale", "restart", "deaf", "wait"]
         ),
         st.integers(0, N_NODES - 1),
         st.integers(0, 30),
@@ -27,57 +27,59 @@
 
 
 async def run(plan):
-    world = World()
+    cluster = Cluster()
     frozen = set()
     heads = []
-    await world.add(n=N_NODES)
-    logs = [node.applied for node in world.nodes]
+    await cluster.add(n=N_NODES)
+    applied_versions = [node.applied for node in cluster.nodes]
     for action, number, amount in plan:
-        node = world.nodes[number]
-        if action == "accept" and not (world.table.is_down or world.objects.is_down):
-            world.table.n_stale_reads = 0
-            heads.append(await world.accept(document(f"o{len(heads)}")))
+        node = cluster.nodes[number]
+        if action == "accept" and not (
+            cluster.table.is_down or cluster.objects.is_down
+        ):
+            cluster.table.n_stale_reads = 0
+            heads.append(await cluster.accept(document(f"o{len(heads)}")))
         elif action == "down":
-            world.table.is_down = True
+            cluster.table.is_down = True
         elif action == "objects down":
-            world.objects.is_down = True
+            cluster.objects.is_down = True
         elif action == "up":
-            world.table.is_down = world.objects.is_down = False
+            cluster.table.is_down = cluster.objects.is_down = False
         elif action == "freeze" and number not in frozen:
             frozen.add(number)
             await node.sync.stop()
         elif action == "thaw" and number in frozen:
             frozen.discard(number)
             await node.sync.start()
-        elif action == "old news" and heads:
+        elif action == "old version" and heads:
             old = heads[amount % len(heads)]
-            node.sync.hear(old.version, old.root, world.nodes[amount % 3].address)
-        elif action == "false news":
+            node.sync.hear(old.version, old.root, cluster.nodes[amount % 3].address)
+        elif action == "invented version":
             node.sync.hear(amount, "f" * 64, Address(host="10.9.9.9", port=1))
         elif action == "stale":
-            world.table.n_stale_reads = amount
-            world.table.stale_rows = dict(world.table.rows)
+            cluster.table.n_stale_reads = amount
+            cluster.table.stale_rows = dict(cluster.table.rows)
         elif action == "restart" and number not in frozen:
             await node.stop()
-            world.nodes[number] = fresh = NodeUnderTest(world, number, N_NODES)
-            logs.append(fresh.applied)
-            await fresh.server.start(fresh.address)
-            await fresh.sync.start()
+            cluster.nodes[number] = restarted = NodeUnderTest(cluster, number, N_NODES)
+            applied_versions.append(restarted.applied)
+            await restarted.server.start(restarted.address)
+            await restarted.sync.start()
         elif action == "deaf":
-            world.is_gossiping = not world.is_gossiping
+            cluster.is_gossiping = not cluster.is_gossiping
         await asyncio.sleep(amount / 10)
-    world.table.is_down = world.objects.is_down = False
-    world.table.n_stale_reads = 0
+    cluster.table.is_down = cluster.objects.is_down = False
+    cluster.table.n_stale_reads = 0
     for number in frozen:
-        await world.nodes[number].sync.start()
+        await cluster.nodes[number].sync.start()
     await asyncio.sleep(20)
-    for node in world.nodes:
+    for node in cluster.nodes:
         assert node.version == len(heads)
         if heads:
             assert node.document == document(f"o{len(heads) - 1}")
             assert node.sync.root == heads[-1].root
         await node.stop()
-    for applied in logs:
+    for applied in applied_versions:
         assert applied == sorted(set(applied))
 
 
--- a/tests/test_document_collector.py
+++ b/tests/test_document_collector.py
@@ -1,4 +1,4 @@
-"""The garbage collector passes over large documents."""
+"""The garbage collector skips large documents."""
 
 from __future__ import annotations
 
@@ -22,27 +22,27 @@
 
 
 class TestFreezing:
-    def test_only_when_it_has_doubled(self):
-        configuration, frozen = Configuration(), []
-        freeze_documents(configuration, lambda: frozen.append(1))
+    def test_freezes_only_after_doubling(self):
+        configuration, freezes = Configuration(), []
+        freeze_documents(configuration, lambda: freezes.append(1))
         sizes = [10, 600, 601, 1199, 1200, 1200, 100, 2400]
         counts = []
         for version, n_organisations in enumerate(sizes, 1):
             offer(configuration, version, n_organisations)
-            counts.append(len(frozen))
+            counts.append(len(freezes))
         assert counts == [0, 1, 1, 1, 2, 2, 2, 3]
 
-    def test_frozen_document_is_not_walked(self):
-        """A full collection in the middle of an answer walks over every organisation.
+    def test_collector_skips_frozen_document(self):
+        """A full collection during an answer would traverse every organisation.
 
-        A caller sees a gap between two tokens.
+        The caller would see a gap between two tokens.
         """
         configuration = Configuration()
         try:
             freeze_documents(configuration)
             offer(configuration, 1, 1000)
-            walked = {id(one) for one in gc.get_objects()}
+            tracked_ids = {id(entry) for entry in gc.get_objects()}
             organisations = configuration.current.document.organisations
-            assert not any(id(one) in walked for one in organisations)
+            assert not any(id(entry) in tracked_ids for entry in organisations)
         finally:
             gc.unfreeze()
--- a/tests/test_document_sections.py
+++ b/tests/test_document_sections.py
@@ -24,7 +24,7 @@
 )
 
 
-def large(n_organisations=300, n_engines=100):
+def large_document(n_organisations=300, n_engines=100):
     return Document(
         models=(ModelSpec(name="contracts", version="v1"),),
         adapters=(AdapterSpec(name="riders", model="contracts", version="v1"),),
@@ -45,26 +45,26 @@
 
 
 class TestTree:
-    def test_document_comes_back_whole(self):
-        document = large()
+    def test_document_round_trip(self):
+        document = large_document()
         assert Tree.of(document).document() == document
 
-    def test_order_of_entries_makes_no_difference(self):
-        document = large()
-        turned = dataclasses.replace(document, engines=document.engines[::-1])
-        assert Tree.of(turned).root == Tree.of(document).root
+    def test_root_is_independent_of_entry_order(self):
+        document = large_document()
+        reversed_engines = dataclasses.replace(document, engines=document.engines[::-1])
+        assert Tree.of(reversed_engines).root == Tree.of(document).root
 
     def test_one_change_makes_three_new_objects(self):
-        document = large()
+        document = large_document()
         first, *rest = document.organisations
         changed = dataclasses.replace(
             document, organisations=(dataclasses.replace(first, priority=9), *rest)
         )
-        new = set(Tree.of(changed).digests()) - set(Tree.of(document).digests())
-        assert len(new) == 3
+        new_digests = set(Tree.of(changed).digests()) - set(Tree.of(document).digests())
+        assert len(new_digests) == 3
 
     def test_every_object_reads_back(self):
-        tree = Tree.of(large())
+        tree = Tree.of(large_document())
         root = read_index(tree.get(tree.root), ROOT, tree.root).ok_value
         n_sections = 0
         for index_name, index_digest in root.digests.items():
@@ -77,28 +77,28 @@
 
 
 class TestBadObjects:
-    """Objects from the store or from peers may be cut, mixed up or of a newer program.
+    """Objects from the store or peers may be truncated, swapped or of a newer program.
 
-    A user would notice by an organisation that is refused although it stands in the
-    accepted document; so anything that is not exactly the named object is a finding.
+    A wrong object could refuse an organisation of the accepted document, so anything
+    but exactly the named object is a finding.
     """
 
     def test_wrong_digest(self):
-        tree = Tree.of(large())
+        tree = Tree.of(large_document())
         name, section = next(iter(tree.sections.items()))
         cut = section.encode()[:-1]
         assert "digest" in read_section(cut, name, section.digest).err_value[0].problem
 
     def test_section_under_another_name(self):
-        tree = Tree.of(large())
+        tree = Tree.of(large_document())
         (_, first), (other, _), *_ = tree.sections.items()
         assert read_section(first.encode(), other, first.digest).is_err()
 
     def test_entry_in_the_wrong_section(self):
-        tree = Tree.of(large())
+        tree = Tree.of(large_document())
         names = [name for name in tree.sections if name.startswith("organisations/")]
-        strange = make_section(names[0], tree.sections[names[1]].items)
-        found = read_section(strange.encode(), names[0], strange.digest)
+        misplaced = make_section(names[0], tree.sections[names[1]].items)
+        found = read_section(misplaced.encode(), names[0], misplaced.digest)
         assert "other sections" in found.err_value[0].problem
 
     @pytest.mark.parametrize(
@@ -112,7 +112,7 @@
             {"section": "organisations/1", "items": [{"name": "a"}]},
         ],
     )
-    def test_misfits(self, value):
+    def test_invalid_section_is_rejected(self, value):
         data = msgspec.json.encode(value)
         assert read_section(data, "organisations/1", digest_of(data)).is_err()
 
--- a/tests/test_validation.py
+++ b/tests/test_validation.py
@@ -1,4 +1,4 @@
-"""Validation: everything that is wrong is told at once, each with its place."""
+"""Validation reports all findings at once, each with its place."""
 
 from __future__ import annotations
 
@@ -16,13 +16,13 @@
 from celerytrail.configuration.validation import validate
 
 
-def places(data) -> dict[str, str]:
+def problems_by_place(data) -> dict[str, str]:
     if not isinstance(data, bytes | Document):
         data = json.dumps(data)
     return {finding.place: finding.problem for finding in validate(data).err_value}
 
 
-def whole() -> dict:
+def valid_document() -> dict:
     return {
         "models": [{"name": "contracts", "version": "v1"}],
         "adapters": [{"name": "riders", "model": "contracts", "version": "v1"}],
@@ -55,18 +55,18 @@
 
 
 class TestWholeDocument:
-    def test_good_document_comes_back_typed(self):
-        document = validate(json.dumps(whole())).ok_value
+    def test_valid_document_is_returned_typed(self):
+        document = validate(json.dumps(valid_document())).ok_value
         assert document.engines[0].adapters == ("riders",)
         assert validate(encode(document)).ok_value == document
         assert validate(document).ok_value == document
 
-    def test_all_findings_come_at_once_with_their_places(self):
-        """An operator uploads a document with a fault in each part.
+    def test_all_findings_are_reported_at_once(self):
+        """An operator uploads a document with an error in each part.
 
-        Told of one fault a time, the operator would need as many tries as faults.
+        With one finding at a time the operator would need as many uploads as errors.
         """
-        data = whole()
+        data = valid_document()
         data["models"][0]["size"] = 3
         data["models"].append({"name": "contracts", "version": "v2"})
         data["adapters"][0]["model"] = "gone"
@@ -80,7 +80,7 @@
         data["services"][0]["operations"].append({"name": "file", "idempotent": 1})
         data["services"][0]["endpoints"][0]["address"] = "127.0.0.1:0"
         data["extra"] = []
-        assert set(places(data)) == {
+        assert set(problems_by_place(data)) == {
             "extra",
             "models[0].size",
             "models[1].name",
@@ -99,10 +99,10 @@
         }
 
     def test_dangling_references(self):
-        data = whole()
+        data = valid_document()
         data["organisations"][0] |= {"models": ["x"], "services": ["y", "booking"]}
         data["engines"][0] |= {"model": "z"}
-        assert set(places(data)) == {
+        assert set(problems_by_place(data)) == {
             "organisations[0].models[0]",
             "organisations[0].services[0]",
             "engines[0].model",
@@ -110,17 +110,17 @@
         }
 
     def test_address_used_twice(self):
-        data = whole()
+        data = valid_document()
         data["services"][0]["endpoints"][0]["address"] = "127.0.0.1:7200"
         assert "services[0].endpoints[0].address" in " ".join(
-            [*places(data), *places(data).values()]
+            [*problems_by_place(data), *problems_by_place(data).values()]
         )
 
     @pytest.mark.parametrize("weight", [0, -1, 1e400, 1001, True, None, "1"])
     def test_weight_out_of_range(self, weight):
-        data = whole()
+        data = valid_document()
         data["organisations"][0]["weight"] = weight
-        assert list(places(json.dumps(data).encode())) in (
+        assert list(problems_by_place(json.dumps(data).encode())) in (
             ["organisations[0].weight"],
             ["document"],
         )
@@ -135,7 +135,7 @@
                 ),
             ),
         )
-        assert set(places(document)) == {
+        assert set(problems_by_place(document)) == {
             "models[0].name",
             "organisations[0].weight",
             "engines[0].model",
@@ -160,11 +160,13 @@
         ],
     )
     def test_bad_input_gives_findings(self, data):
-        """Somebody uploads the wrong file; the page must say what is wrong with it."""
+        """An operator uploads a wrong file; the findings must name the problem."""
         assert validate(data).err_value
 
     def test_syntax_error_has_line_and_column(self):
-        assert list(places(b'{\n"models": [,]}')) == ["document, line 2, column 12"]
+        assert list(problems_by_place(b'{\n"models": [,]}')) == [
+            "document, line 2, column 12"
+        ]
 
     def test_too_many_findings_are_cut(self):
         data = {"models": [{"name": " "}] * 2000}
--- a/tests/test_validation_changes.py
+++ b/tests/test_validation_changes.py
@@ -1,4 +1,4 @@
-"""The quick check of changed entries agrees with the check of the whole."""
+"""The check of changed entries only agrees with the check of the whole document."""
 
 from __future__ import annotations
 
