--- a/celerytrail/callers/__init__.py
+++ b/celerytrail/callers/__init__.py
@@ -1,1 +1,1 @@
-"""Talk to callers: the HTTP API, its streams, tickets and addresses."""
+"""The HTTP API for callers: its streams, tickets and address list."""
--- a/celerytrail/callers/answers.py
+++ b/celerytrail/callers/answers.py
@@ -1,4 +1,4 @@
-"""The error answers of the callers' API: one shape, and when to come back."""
+"""Error answers of the callers' API, all of one shape, with the time to retry after."""
 
 from __future__ import annotations
 
@@ -12,16 +12,16 @@
 from .auth import AuthError
 from .starting import GenerationFailed, StartError
 
-LIMIT_SUFFIX = "limit"
+LIMIT_REASON_SUFFIX = "limit"
 LOST_RETRY_SECONDS = 2.0
 
 
 async def send_findings(
     res: Responder, findings: Sequence[Finding], headers: dict[str, str] | None = None
 ) -> None:
-    """Answer 400 with everything that is wrong, the first in front."""
+    """Answer 400 with all findings; the first one also makes the message."""
     first = findings[0]
-    shown = [{"place": f.place, "problem": f.problem} for f in findings]
+    encoded = [{"place": f.place, "problem": f.problem} for f in findings]
     await send_error(
         res,
         400,
@@ -29,7 +29,7 @@
         place=first.place,
         message=f"{first.place}: {first.problem}",
         headers=headers,
-        findings=shown,
+        findings=encoded,
     )
 
 
@@ -46,9 +46,10 @@
 
 
 async def send_unknown_generation(res: Responder, headers: dict[str, str]) -> None:
-    """Answer 404: forged, of another organisation, or nothing, all alike.
+    """Answer 404 alike for a forged, a foreign and a meaningless ticket.
 
-    Were they told apart, a caller could learn which tickets of others exist.
+    If the answers differed, a caller could find out which tickets of other
+    organisations exist.
     """
     await send_error(
         res,
@@ -63,13 +64,13 @@
 async def send_start_error(
     res: Responder, problem: StartError, headers: dict[str, str]
 ) -> None:
-    """Answer a generation of which no token came, at once, with when to come back."""
+    """Answer that a generation returned no token, with the time to retry after."""
     if isinstance(problem, GenerationFailed):
-        is_late = problem.reason == "deadline"
+        is_past_deadline = problem.reason == "deadline"
         await send_error(
             res,
-            504 if is_late else 503,
-            "deadline_passed" if is_late else "generation_failed",
+            504 if is_past_deadline else 503,
+            "deadline_passed" if is_past_deadline else "generation_failed",
             place="engine",
             message=problem.detail or problem.reason,
             headers={**headers, **retry_header(problem.retry_after)},
@@ -84,8 +85,8 @@
 async def send_not_run(
     res: Responder, not_run: NotRun, headers: dict[str, str]
 ) -> None:
-    """Answer what was certainly not run."""
-    is_limit = not_run.reason.endswith(LIMIT_SUFFIX)
+    """Answer 429 or 503 for a request that was certainly not run."""
+    is_limit = not_run.reason.endswith(LIMIT_REASON_SUFFIX)
     await send_error(
         res,
         429 if is_limit else 503,
@@ -102,15 +103,15 @@
 async def send_lost(
     res: Responder, lost: StreamLost, event_id: str, headers: dict[str, str]
 ) -> None:
-    """Answer a stream that ended before its end, where no head has gone out."""
+    """Answer that the stream was lost, before any headers have been sent."""
     error = lost_error(lost, event_id)
     status = _LOST_STATUS.get(lost.reason, 503)
-    kind, message = str(error.pop("type")), str(error.pop("message"))
+    error_type, message = str(error.pop("type")), str(error.pop("message"))
     retry_after = LOST_RETRY_SECONDS if lost.can_resume else None
     await send_error(
         res,
         status,
-        kind,
+        error_type,
         place="from" if lost.reason == "offset_beyond_end" else "generation",
         message=message,
         headers={**headers, **retry_header(retry_after)},
@@ -139,14 +140,14 @@
 
 
 def lost_error(lost: StreamLost, event_id: str) -> dict[str, object]:
-    """Return the error that ends an answer which is not whole.
+    """Return the error object that ends an incomplete answer.
 
     Parameters
     ----------
     lost : StreamLost
-        What happened.
+        Why the stream was lost.
     event_id : str
-        ``TICKET.OFFSET`` from which the rest could be had.
+        ``TICKET.OFFSET`` at which the caller can resume.
     """
     error: dict[str, object] = {
         "type": _LOST_TYPES.get(lost.reason, "generation_lost"),
@@ -171,7 +172,7 @@
 
 
 def retry_header(seconds: float | None) -> dict[str, str]:
-    """Return the standard header, whose unit is whole seconds."""
+    """Return the ``retry-after`` header in whole seconds, or no header for None."""
     if seconds is None:
         return {}
     return {"retry-after": str(max(1, math.ceil(seconds)))}
--- a/celerytrail/callers/completions.py
+++ b/celerytrail/callers/completions.py
@@ -24,48 +24,49 @@
 from .answers import send_findings, send_lost, send_start_error
 from .bodies import GenerationBody, read_body
 from .context import Context
-from .delivery import Delivery, deliver_events, gather
-from .endings import Endings, abandoner
+from .delivery import Delivery, collect_tokens, deliver_events
+from .endings import Endings, abandon_on_disconnect
 from .leavers import Leavers
 from .shapes import SHAPES, AnswerHead, EventWriter
 from .starting import (
     RETRY_AFTER_SECONDS,
     GenerationFailed,
     GenerationStarter,
-    Started,
+    StartedGeneration,
     StartError,
     StartRequest,
 )
 from .tickets import Ticket, TicketSigner
 
-N_WHOLE_TRIES = 3
-# Losses after which a whole answer isn't begun anew elsewhere.
-FINAL_LOSSES = ("deadline", "cancelled", "too_large")
+N_MAX_WHOLE_ATTEMPTS = 3
+# Reasons of a lost stream after which a non-streamed answer isn't restarted elsewhere.
+FINAL_LOSS_REASONS = ("deadline", "cancelled", "too_large")
 
 
 class CompletionRoutes:
-    """Starts generations and gives them to their callers.
+    """Starts generations and sends their tokens to the callers.
 
     Parameters
     ----------
     configuration : Configuration
-        Names models, adapters and organisations.
+        Lists models and adapters.
     starter : GenerationStarter
         Starts generations.
     admitter : Admitter
-        Told of progress and ends.
+        Gets the progress of each generation.
     endings : Endings
-        Frees what ended generations held.
+        Releases what ended generations hold.
     leavers : Leavers
-        Takes over generations whose callers have gone.
+        Cancels generations whose callers have disconnected.
     tickets : TicketSigner
-        Names streams.
+        Issues tickets.
     metrics : Metrics
-        Counts refusals and first tokens.
+        Counts refusals and measures the time to the first token.
     clock : Clock
-        Of deadlines and of dates.
+        Source of monotonic time for deadlines and of wall time for dates.
     queue_seconds, ticket_seconds : float
-        How long a request may wait for an engine, and a ticket holds.
+        How long a request may wait for an engine, and how long a ticket is valid, in
+        seconds.
     """
 
     def __init__(
@@ -85,8 +86,8 @@
         self._configuration = configuration
         self._starter = starter
         self._admitter = admitter
-        self._ends = endings
-        self._leavers = leavers
+        self._cleanup = endings
+        self._disconnects = leavers
         self._tickets = tickets
         self._metrics = metrics
         self._clock = clock
@@ -94,41 +95,51 @@
         self._ticket_seconds = ticket_seconds
 
     async def answer(self, ctx: Context, res: Responder, shape: str) -> None:
-        """Answer one request."""
-        read = read_body(shape, ctx.req.body)
-        if isinstance(read, Err):
-            await send_findings(res, read.err_value, ctx.headers)
+        """Answer one completion request.
+
+        Parameters
+        ----------
+        ctx : Context
+            The request.
+        res : Responder
+            Where the answer is sent.
+        shape : str
+            ``completion`` or ``chat``.
+        """
+        parsed = read_body(shape, ctx.req.body)
+        if isinstance(parsed, Err):
+            await send_findings(res, parsed.err_value, ctx.headers)
             return
-        planned = self._plan(ctx, read.ok_value)
-        if isinstance(planned, Err):
-            await send_findings(res, [planned.err_value], ctx.headers)
+        checked = self._check_body(ctx, parsed.ok_value)
+        if isinstance(checked, Err):
+            await send_findings(res, [checked.err_value], ctx.headers)
             return
-        req = planned.ok_value
-        asked_at = self._clock.monotonic()
+        req = checked.ok_value
+        received_at = self._clock.monotonic()
         started = await self._start(req, res)
         if started is None:
             return
         if isinstance(started, Err):
             await self._refuse(res, started.err_value, ctx)
             return
-        seconds = self._clock.monotonic() - asked_at
+        seconds = self._clock.monotonic() - received_at
         self._metrics.observe("first_token", seconds)
         if req.body.is_streamed:
-            await self._stream(ctx, res, req, started.ok_value)
+            await self._send_stream(ctx, res, req, started.ok_value)
         else:
-            await self._whole(ctx, res, req, started.ok_value)
+            await self._send_whole(ctx, res, req, started.ok_value)
 
-    def _plan(
+    def _check_body(
         self, ctx: Context, body: GenerationBody
     ) -> Result[StartRequest, Finding]:
-        """Check a body against the document."""
+        """Check a body against the document and return the request to start."""
         model_name, _, adapter = body.model.partition(":")
         model = self._find_model(ctx, model_name, adapter)
         if model is None:
             problem = f"{body.model!r} is no model that you may use"
             return Err(Finding(place="model", problem=problem))
-        n_room = model.n_context_tokens - estimate_tokens(body.prompt)
-        if n_room < 1:
+        n_free_tokens = model.n_context_tokens - estimate_tokens(body.prompt)
+        if n_free_tokens < 1:
             place = "messages" if body.shape == "chat" else "prompt"
             problem = f"fills the model's {model.n_context_tokens} tokens of context"
             return Err(Finding(place=place, problem=problem))
@@ -144,7 +155,7 @@
                 model=model_name,
                 adapter=adapter,
                 body=body,
-                n_max_tokens=min(body.n_max_tokens or n_room, n_room),
+                n_max_tokens=min(body.n_max_tokens or n_free_tokens, n_free_tokens),
                 queue_deadline=now + self._queue_seconds,
                 deadline=deadline,
                 headers=task_headers(action) if action is not None else {},
@@ -163,24 +174,24 @@
 
     async def _start(
         self, req: StartRequest, res: Responder, excluded: tuple[str, ...] = ()
-    ) -> Result[Started, StartError] | None:
-        """Start a generation; None where the caller left before it had begun."""
+    ) -> Result[StartedGeneration, StartError] | None:
+        """Start a generation; return None if the caller disconnects first."""
         task = asyncio.get_running_loop().create_task(
             self._starter.start(req, excluded)
         )
         try:
-            either: list[asyncio.Future[Any]] = [task, res.lost]
-            await asyncio.wait(either, return_when=asyncio.FIRST_COMPLETED)
+            futures: list[asyncio.Future[Any]] = [task, res.lost]
+            await asyncio.wait(futures, return_when=asyncio.FIRST_COMPLETED)
         finally:
             if not task.done():
-                # Without this a generation would go on for a caller who has gone.
+                # Otherwise the generation would run on for a disconnected caller.
                 task.cancel()
         if not task.done():
             return None
         result = task.result()
         if res.is_lost and isinstance(result, Ok):
             started = result.ok_value
-            self._leavers.note(started.stream, started.grant, can_return=False)
+            self._disconnects.handle(started.stream, started.grant, can_return=False)
             return None
         return result
 
@@ -188,17 +199,23 @@
         self._metrics.count("refusals", reason=problem.reason)
         await send_start_error(res, problem, ctx.headers)
 
-    async def _stream(
-        self, ctx: Context, res: Responder, req: StartRequest, started: Started
+    async def _send_stream(
+        self,
+        ctx: Context,
+        res: Responder,
+        req: StartRequest,
+        started: StartedGeneration,
     ) -> None:
-        ticket = self._issue(ctx, req, started)
+        ticket = self._issue_ticket(ctx, req, started)
         writer = EventWriter(
-            shape=SHAPES[req.body.shape], head=self._head(req, started), ticket=ticket
+            shape=SHAPES[req.body.shape],
+            head=self._answer_head(req, started),
+            ticket=ticket,
         )
         delivery = self._delivery(started, ticket)
-        res.lost.add_done_callback(abandoner(started.stream))
+        res.lost.add_done_callback(abandon_on_disconnect(started.stream))
         try:
-            last = await deliver_events(
+            outcome = await deliver_events(
                 delivery,
                 res,
                 writer,
@@ -207,68 +224,72 @@
                 does_include_usage=req.body.does_include_usage,
             )
         except PeerError:
-            self._leavers.note(started.stream, started.grant, can_return=True)
+            self._disconnects.handle(started.stream, started.grant, can_return=True)
             raise
         except BaseException:
-            self._ends.give_up(started.stream, started.grant)
+            self._cleanup.abandon(started.stream, started.grant)
             raise
-        self._ends.note(started.stream, started.grant, last)
+        self._cleanup.on_end(started.stream, started.grant, outcome)
 
-    async def _whole(
-        self, ctx: Context, res: Responder, req: StartRequest, started: Started
+    async def _send_whole(
+        self,
+        ctx: Context,
+        res: Responder,
+        req: StartRequest,
+        started: StartedGeneration,
     ) -> None:
         excluded: tuple[str, ...] = ()
-        for n_left in reversed(range(N_WHOLE_TRIES)):
-            got = await self._gather(res, req, started)
-            if got is None:
+        for n_left in reversed(range(N_MAX_WHOLE_ATTEMPTS)):
+            collected = await self._collect_answer(res, req, started)
+            if collected is None:
                 return
-            if isinstance(got, Ok):
-                await res.send_json(200, got.ok_value, ctx.headers)
+            if isinstance(collected, Ok):
+                await res.send_json(200, collected.ok_value, ctx.headers)
                 return
-            lost = got.err_value
-            if lost.reason in FINAL_LOSSES or not n_left:
+            lost = collected.err_value
+            if lost.reason in FINAL_LOSS_REASONS or not n_left:
                 await send_lost(res, replace(lost, can_resume=False), "", ctx.headers)
                 return
-            # The caller has no token yet, so another engine may begin anew.
+            # The caller has received no token, so another engine may start again.
             excluded = (*excluded, started.engine.name)
-            again = await self._start(req, res, excluded)
-            if again is None:
+            restarted = await self._start(req, res, excluded)
+            if restarted is None:
                 return
-            if isinstance(again, Err):
-                await self._refuse(res, _may_have_run(again.err_value), ctx)
+            if isinstance(restarted, Err):
+                await self._refuse(res, _as_generation_failed(restarted.err_value), ctx)
                 return
-            started = again.ok_value
+            started = restarted.ok_value
 
-    async def _gather(
-        self, res: Responder, req: StartRequest, started: Started
+    async def _collect_answer(
+        self, res: Responder, req: StartRequest, started: StartedGeneration
     ) -> Result[dict[str, object], StreamLost] | None:
-        """Return the whole answer; None where the caller left before it was there."""
-        res.lost.add_done_callback(abandoner(started.stream))
+        """Collect the complete answer; return None if the caller disconnects first."""
+        res.lost.add_done_callback(abandon_on_disconnect(started.stream))
         try:
-            gathered = await gather(self._delivery(started, ""))
+            collected = await collect_tokens(self._delivery(started, ""))
         except BaseException:
-            self._leavers.note(started.stream, started.grant, can_return=False)
+            self._disconnects.handle(started.stream, started.grant, can_return=False)
             raise
-        if isinstance(gathered, Ok):
-            tokens, finished = gathered.ok_value
-            self._ends.note(started.stream, started.grant, finished)
-            head = self._head(req, started)
+        if isinstance(collected, Ok):
+            tokens, finished = collected.ok_value
+            self._cleanup.on_end(started.stream, started.grant, finished)
+            head = self._answer_head(req, started)
             return Ok(SHAPES[req.body.shape].whole(head, tokens, finished))
-        if gathered.err_value.reason == "abandoned":
-            self._leavers.note(started.stream, started.grant, can_return=False)
+        if collected.err_value.reason == "abandoned":
+            self._disconnects.handle(started.stream, started.grant, can_return=False)
             return None
-        self._ends.note(started.stream, started.grant, gathered.err_value)
-        return Err(gathered.err_value)
+        self._cleanup.on_end(started.stream, started.grant, collected.err_value)
+        return Err(collected.err_value)
 
-    def _delivery(self, started: Started, ticket: str) -> Delivery:
+    def _delivery(self, started: StartedGeneration, ticket: str) -> Delivery:
         return Delivery(
             stream=started.stream,
             first=started.first,
             ticket=ticket,
-            progress=partial(self._admitter.progress, started.grant),
+            on_progress=partial(self._admitter.progress, started.grant),
         )
 
-    def _head(self, req: StartRequest, started: Started) -> AnswerHead:
+    def _answer_head(self, req: StartRequest, started: StartedGeneration) -> AnswerHead:
         prefix = SHAPES[req.body.shape].answer_prefix
         return AnswerHead(
             answer_id=f"{prefix}{started.grant.grant_id}",
@@ -276,7 +297,9 @@
             created=int(self._clock.wall()),
         )
 
-    def _issue(self, ctx: Context, req: StartRequest, started: Started) -> str:
+    def _issue_ticket(
+        self, ctx: Context, req: StartRequest, started: StartedGeneration
+    ) -> str:
         return self._tickets.issue(
             Ticket(
                 organisation=ctx.organisation.name,
@@ -291,8 +314,8 @@
         )
 
 
-def _may_have_run(problem: StartError) -> StartError:
-    """Take back a "not run" where an earlier try had begun."""
+def _as_generation_failed(problem: StartError) -> StartError:
+    """Return the error as `GenerationFailed`, as an earlier attempt had started."""
     if isinstance(problem, GenerationFailed):
         return problem
     return GenerationFailed(
--- a/celerytrail/callers/delivery.py
+++ b/celerytrail/callers/delivery.py
@@ -1,4 +1,4 @@
-"""Gives a generation's tokens to its caller, streamed or whole."""
+"""Sends a generation's tokens to its caller, as a stream or collected."""
 
 from __future__ import annotations
 
@@ -14,30 +14,30 @@
 from .answers import lost_error
 from .shapes import EVENT_STREAM_TYPE, EventWriter
 
-PROGRESS_TOKENS = 32
+PROGRESS_INTERVAL_TOKENS = 32
 MAX_ANSWER_BYTES = 8 * 1024 * 1024
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Delivery:
-    """One answer on its way to one caller.
+    """One answer that is being sent to one caller.
 
     Parameters
     ----------
     stream : EngineStream
-        Where the tokens come from.
+        The stream of the generation's tokens.
     first : Tokens or Finished
-        What has come of it already.
+        The first tokens or the end, already read from the stream.
     ticket : str
         The ticket's text.
-    progress : callable
-        Told now and then how many tokens there are.
+    on_progress : callable
+        Called with the number of tokens after each `PROGRESS_INTERVAL_TOKENS`.
     """
 
     stream: EngineStream
     first: Tokens | Finished
     ticket: str
-    progress: Callable[[int], None]
+    on_progress: Callable[[int], None]
 
 
 async def deliver_events(
@@ -49,12 +49,12 @@
     is_new: bool,
     does_include_usage: bool,
 ) -> Finished | StreamLost:
-    """Stream an answer as server-sent events, to its end or the stream's.
+    """Stream an answer as server-sent events until it is complete or lost.
 
     Raises
     ------
     PeerError
-        When the caller has gone or took nothing for too long.
+        If the caller has disconnected or hasn't read for too long.
     """
     stream = delivery.stream
     res.start(
@@ -67,65 +67,65 @@
         },
     )
     opening = writer.opening(0) if is_new else b""
-    got: Tokens | Finished | StreamLost = delivery.first
-    next_progress = stream.offset + PROGRESS_TOKENS
-    while isinstance(got, Tokens):
-        # Waiting here while the caller is behind is the back-pressure: the engine
-        # isn't read meanwhile, and the engine keeps what it made.
-        await res.write(opening + writer.tokens(got))
+    item: Tokens | Finished | StreamLost = delivery.first
+    next_progress = stream.offset + PROGRESS_INTERVAL_TOKENS
+    while isinstance(item, Tokens):
+        # This wait is the backpressure: while the caller reads slowly, the engine's
+        # stream isn't read, and the engine keeps the tokens.
+        await res.write(opening + writer.tokens(item))
         opening = b""
         if stream.offset >= next_progress:
-            delivery.progress(stream.offset)
-            next_progress = stream.offset + PROGRESS_TOKENS
-        came = await stream.next()
-        got = came.ok_value if isinstance(came, Ok) else came.err_value
-    last = _as_lost(got)
-    if isinstance(last, StreamLost):
+            delivery.on_progress(stream.offset)
+            next_progress = stream.offset + PROGRESS_INTERVAL_TOKENS
+        result = await stream.next()
+        item = result.ok_value if isinstance(result, Ok) else result.err_value
+    outcome = _cancelled_as_lost(item)
+    if isinstance(outcome, StreamLost):
         event_id = f"{delivery.ticket}.{stream.offset}"
         await res.write(
-            opening + writer.error(stream.offset, lost_error(last, event_id))
+            opening + writer.error(stream.offset, lost_error(outcome, event_id))
         )
     else:
-        ending = writer.ending(last, does_include_usage=does_include_usage)
+        ending = writer.ending(outcome, does_include_usage=does_include_usage)
         await res.write(opening + ending)
     await res.finish()
     log_message(
         "callers:stream_ended",
         n_tokens=stream.offset,
-        end=last.reason if isinstance(last, StreamLost) else last.end,
+        end=outcome.reason if isinstance(outcome, StreamLost) else outcome.end,
     )
-    return last
+    return outcome
 
 
-async def gather(
+async def collect_tokens(
     delivery: Delivery,
 ) -> Result[tuple[list[bytes], Finished], StreamLost]:
-    """Collect a whole answer's tokens, as JSON strings."""
+    """Collect all tokens of an answer, as JSON strings."""
     stream = delivery.stream
     tokens: list[bytes] = []
     n_bytes = 0
-    got: Tokens | Finished | StreamLost = delivery.first
-    while isinstance(got, Tokens):
-        tokens += got.tokens
-        n_bytes += sum(len(token) for token in got.tokens)
+    item: Tokens | Finished | StreamLost = delivery.first
+    while isinstance(item, Tokens):
+        tokens += item.tokens
+        n_bytes += sum(len(token) for token in item.tokens)
         if n_bytes > MAX_ANSWER_BYTES:
             lost = StreamLost(
                 reason="too_large", n_tokens=stream.offset, can_resume=False
             )
             return Err(lost)
-        came = await stream.next()
-        got = came.ok_value if isinstance(came, Ok) else came.err_value
-    last = _as_lost(got)
-    if isinstance(last, StreamLost):
-        return Err(last)
-    return Ok((tokens, last))
+        result = await stream.next()
+        item = result.ok_value if isinstance(result, Ok) else result.err_value
+    outcome = _cancelled_as_lost(item)
+    if isinstance(outcome, StreamLost):
+        return Err(outcome)
+    return Ok((tokens, outcome))
 
 
-def _as_lost(got: Finished | StreamLost) -> Finished | StreamLost:
-    """Turn the end of a cancelled generation into the loss that it is.
+def _cancelled_as_lost(item: Finished | StreamLost) -> Finished | StreamLost:
+    """Return a cancelled end as a lost stream, and any other outcome as it is.
 
-    Passed on as an end, a part of an answer would look like the whole of it.
+    Sent as an ordinary end, a partial answer would look complete to the caller.
     """
-    if isinstance(got, Finished) and got.end == "cancelled":
-        return StreamLost(reason="cancelled", n_tokens=got.n_tokens, can_resume=False)
-    return got
+    if isinstance(item, Finished) and item.end == "cancelled":
+        return StreamLost(reason="cancelled", n_tokens=item.n_tokens, can_resume=False)
+    return item
--- a/celerytrail/callers/endings.py
+++ b/celerytrail/callers/endings.py
@@ -1,4 +1,4 @@
-"""Frees what a generation held, and stops it where it would go on for nobody."""
+"""Finishes a generation's grant, and cancels the generation if it may still run."""
 
 from __future__ import annotations
 
@@ -10,48 +10,50 @@
 from ..policies.grants import Admitter, GenerationEnd, Grant
 from .starting import BackgroundTasks
 
-# Losses after which the generation may still run though nobody wants it.
-UNWANTED = ("deadline", "too_large")
+# Reasons of a lost stream after which the generation may still run, unread.
+CANCEL_REASONS = ("deadline", "too_large")
 
 
 class Endings:
-    """Notes the ends of generations.
+    """Releases what a generation holds once its stream has ended.
 
     Parameters
     ----------
     admitter : Admitter
-        Told of each end.
+        Gets the end of each generation.
     tasks : BackgroundTasks
-        Where cancels run, so that no caller waits for them.
+        Runs cancels and releases of connections, so that no caller waits for them.
     """
 
     def __init__(self, *, admitter: Admitter, tasks: BackgroundTasks) -> None:
         self._admitter = admitter
         self._tasks = tasks
 
-    def note(
-        self, stream: EngineStream, grant: Grant, last: Finished | StreamLost
+    def on_end(
+        self, stream: EngineStream, grant: Grant, outcome: Finished | StreamLost
     ) -> None:
-        """Note how a generation ended."""
+        """Finish the grant of an ended stream and release its connection."""
         end: GenerationEnd = "answered"
-        if isinstance(last, StreamLost):
+        if isinstance(outcome, StreamLost):
             end = "lost"
-            if last.reason in UNWANTED:
+            if outcome.reason in CANCEL_REASONS:
                 self._tasks.spawn(stream.cancel())
                 end = "cancelled"
         self._admitter.finish(grant, stream.offset, end)
-        # The answer is whole; its caller needn't wait until the connection to the
-        # engine is known to be fit for another exchange.
+        # The caller has its answer. It need not wait until the connection to the
+        # engine is known to be reusable.
         self._tasks.spawn(stream.release())
 
-    def give_up(self, stream: EngineStream, grant: Grant) -> None:
-        """Note that this node can't go on with a generation that may still run."""
+    def abandon(self, stream: EngineStream, grant: Grant) -> None:
+        """Stop reading a generation that may still run; finish its grant as lost."""
         stream.abandon()
         self._admitter.finish(grant, stream.offset, "lost")
 
 
-def abandoner(stream: EngineStream) -> Callable[[asyncio.Future[None]], None]:
-    """Return a callback that stops the reading once the caller has gone."""
+def abandon_on_disconnect(
+    stream: EngineStream,
+) -> Callable[[asyncio.Future[None]], None]:
+    """Return a callback that abandons the stream when the caller disconnects."""
 
     def abandon(_: asyncio.Future[None]) -> None:
         stream.abandon()
--- a/celerytrail/callers/generations.py
+++ b/celerytrail/callers/generations.py
@@ -1,4 +1,4 @@
-"""``/v1/generations/TICKET``: any node takes any generation up again, or ends it."""
+"""``/v1/generations/TICKET``: resumes or cancels a generation, at any node."""
 
 from __future__ import annotations
 
@@ -22,8 +22,8 @@
 from ..types import Address, Finding
 from .answers import retry_header, send_findings, send_lost, send_unknown_generation
 from .context import Context
-from .delivery import Delivery, deliver_events, gather
-from .endings import Endings, abandoner
+from .delivery import Delivery, collect_tokens, deliver_events
+from .endings import Endings, abandon_on_disconnect
 from .leavers import Leavers
 from .shapes import SHAPES, AnswerHead, EventWriter
 from .starting import GenerationStarter
@@ -36,16 +36,16 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class ResumeRequest:
-    """A checked request to take a stream up again.
+    """A validated request to resume a stream.
 
     Parameters
     ----------
     ticket : Ticket
-        Which stream.
+        Names the stream.
     offset : int
-        Tokens that the caller has already.
+        Number of tokens that the caller already has.
     is_streamed, does_include_usage : bool
-        How to answer.
+        Whether the answer is streamed, and whether it ends with the token usage.
     """
 
     ticket: Ticket
@@ -56,12 +56,12 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class NotYours:
-    """The ticket is forged, of another organisation, or nonsense: all alike."""
+    """The ticket is forged, malformed or another organisation's."""
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class TicketExpired:
-    """The ticket is the caller's own, but too old."""
+    """The ticket belongs to the caller's organisation but has expired."""
 
 
 ResumeError = NotYours | TicketExpired | Finding
@@ -75,17 +75,19 @@
     starter : GenerationStarter
         Opens streams.
     admitter : Admitter
-        Told of progress and ends.
-    endings, leavers : Endings, Leavers
-        Take over what has ended, or lost its caller.
+        Gets the progress and the end of each generation.
+    endings : Endings
+        Releases what ended generations hold.
+    leavers : Leavers
+        Cancels generations whose callers have disconnected.
     tickets : TicketSigner
-        Reads tickets.
+        Verifies and renews tickets.
     metrics : Metrics
-        Counts what was refused.
+        Counts refusals and resumes.
     clock : Clock
-        Of deadlines and of dates.
+        Source of wall time.
     ticket_seconds : float
-        How long a ticket holds; one is renewed with each resume.
+        How long a ticket is valid, in seconds; each resume renews it.
     """
 
     def __init__(
@@ -102,62 +104,66 @@
     ) -> None:
         self._starter = starter
         self._admitter = admitter
-        self._ends = endings
-        self._leavers = leavers
+        self._cleanup = endings
+        self._disconnects = leavers
         self._tickets = tickets
         self._metrics = metrics
         self._clock = clock
         self._ticket_seconds = ticket_seconds
 
     async def resume(self, ctx: Context, res: Responder, params: Params) -> None:
-        """Answer with the rest of a generation."""
-        read = self._read(ctx, params["ticket"])
-        if isinstance(read, Err):
-            await self._refuse(res, read.err_value, ctx)
+        """Send the rest of a generation, from the caller's offset on."""
+        parsed = self._parse_resume_request(ctx, params["ticket"])
+        if isinstance(parsed, Err):
+            await self._refuse(res, parsed.err_value, ctx)
             return
-        req = read.ok_value
-        stream = self._open(ctx, req.ticket, req.offset)
-        res.lost.add_done_callback(abandoner(stream))
+        req = parsed.ok_value
+        stream = self._open_stream(ctx, req.ticket, req.offset)
+        res.lost.add_done_callback(abandon_on_disconnect(stream))
         first = await stream.next()
-        grant = self._grant(req.ticket)
+        grant = self._grant_of(req.ticket)
         if isinstance(first, Err):
             lost = first.err_value
             if lost.reason == "abandoned":
-                self._leavers.note(stream, grant, can_return=True)
+                self._disconnects.handle(stream, grant, can_return=True)
                 return
             self._metrics.count("refusals", reason=lost.reason)
-            event_id = f"{self._renew(req.ticket)}.{req.offset}"
-            self._ends.note(stream, grant, lost)
+            event_id = f"{self._renew_ticket(req.ticket)}.{req.offset}"
+            self._cleanup.on_end(stream, grant, lost)
             await send_lost(res, lost, event_id, ctx.headers)
             return
         self._metrics.count("resumes", cause="caller")
         delivery = Delivery(
             stream=stream,
             first=first.ok_value,
-            ticket=self._renew(req.ticket),
-            progress=partial(self._admitter.progress, grant),
+            ticket=self._renew_ticket(req.ticket),
+            on_progress=partial(self._admitter.progress, grant),
         )
         try:
             if req.is_streamed:
-                await self._stream(ctx, res, req, delivery, grant)
+                await self._send_stream(ctx, res, req, delivery, grant)
             else:
-                await self._whole(ctx, res, req, delivery, grant)
+                await self._send_whole(ctx, res, req, delivery, grant)
         except PeerError:
-            self._leavers.note(stream, grant, can_return=True)
+            self._disconnects.handle(stream, grant, can_return=True)
             raise
         except BaseException:
-            self._ends.give_up(stream, grant)
+            self._cleanup.abandon(stream, grant)
             raise
 
     async def cancel(self, ctx: Context, res: Responder, params: Params) -> None:
-        """End a generation at once."""
-        read = self._read_ticket(ctx.organisation, _without_offset(params["ticket"]))
-        if isinstance(read, Err):
-            await self._refuse(res, read.err_value, ctx)
+        """Cancel a generation at its engine."""
+        verified = self._verify_ticket(
+            ctx.organisation, _strip_offset(params["ticket"])
+        )
+        if isinstance(verified, Err):
+            await self._refuse(res, verified.err_value, ctx)
             return
-        ticket = read.ok_value
-        done = await self._open(ctx, ticket, 0).cancel()
-        if isinstance(done, Err) and not isinstance(done.err_value, UnknownGeneration):
+        ticket = verified.ok_value
+        result = await self._open_stream(ctx, ticket, 0).cancel()
+        if isinstance(result, Err) and not isinstance(
+            result.err_value, UnknownGeneration
+        ):
             await send_error(
                 res,
                 503,
@@ -168,10 +174,10 @@
                 retry_after=CANCEL_RETRY_SECONDS,
             )
             return
-        self._admitter.finish(self._grant(ticket), 0, "cancelled")
+        self._admitter.finish(self._grant_of(ticket), 0, "cancelled")
         await res.send(204, b"", ctx.headers)
 
-    async def _stream(
+    async def _send_stream(
         self,
         ctx: Context,
         res: Responder,
@@ -181,10 +187,10 @@
     ) -> None:
         writer = EventWriter(
             shape=SHAPES[req.ticket.shape],
-            head=self._head(req.ticket),
+            head=self._answer_head(req.ticket),
             ticket=delivery.ticket,
         )
-        last = await deliver_events(
+        outcome = await deliver_events(
             delivery,
             res,
             writer,
@@ -192,9 +198,9 @@
             is_new=False,
             does_include_usage=req.does_include_usage,
         )
-        self._ends.note(delivery.stream, grant, last)
+        self._cleanup.on_end(delivery.stream, grant, outcome)
 
-    async def _whole(
+    async def _send_whole(
         self,
         ctx: Context,
         res: Responder,
@@ -202,31 +208,34 @@
         delivery: Delivery,
         grant: Grant,
     ) -> None:
-        gathered = await gather(delivery)
-        if isinstance(gathered, Ok):
-            tokens, finished = gathered.ok_value
-            self._ends.note(delivery.stream, grant, finished)
+        collected = await collect_tokens(delivery)
+        if isinstance(collected, Ok):
+            tokens, finished = collected.ok_value
+            self._cleanup.on_end(delivery.stream, grant, finished)
             shape = SHAPES[req.ticket.shape]
-            answer = shape.whole(self._head(req.ticket), tokens, finished)
+            answer = shape.whole(self._answer_head(req.ticket), tokens, finished)
             await res.send_json(200, {**answer, "from": req.offset}, ctx.headers)
             return
-        lost = gathered.err_value
+        lost = collected.err_value
         if lost.reason == "abandoned":
-            raise PeerError("the caller left before the rest was there")
-        self._ends.note(delivery.stream, grant, lost)
-        # None of the rest has reached the caller: it goes on from where it was.
+            raise PeerError("the caller disconnected before the answer was complete")
+        self._cleanup.on_end(delivery.stream, grant, lost)
+        # The caller has received none of these tokens, so its offset is unchanged.
         event_id = f"{delivery.ticket}.{req.offset}"
         await send_lost(res, lost, event_id, ctx.headers)
 
-    def _read(self, ctx: Context, path: str) -> Result[ResumeRequest, ResumeError]:
-        ticket = self._read_ticket(ctx.organisation, _without_offset(path))
+    def _parse_resume_request(
+        self, ctx: Context, path: str
+    ) -> Result[ResumeRequest, ResumeError]:
+        """Validate a request to resume a stream."""
+        ticket = self._verify_ticket(ctx.organisation, _strip_offset(path))
         if isinstance(ticket, Err):
             return ticket
         query = parse_qs(ctx.req.query, keep_blank_values=True)
         unknown = set(query) - {"from", "stream", "include_usage"}
         if unknown:
             return Err(Finding(place=min(unknown)[:100], problem="is no parameter"))
-        offset = _read_offset(ctx, path, query)
+        offset = _parse_offset(ctx, path, query)
         if isinstance(offset, Err):
             return Err(offset.err_value)
         flags = {}
@@ -244,21 +253,22 @@
             )
         )
 
-    def _read_ticket(
+    def _verify_ticket(
         self, organisation: OrganisationSpec, text: str
     ) -> Result[Ticket, ResumeError]:
-        read = self._tickets.read(text)
-        if isinstance(read, Err):
-            problem = read.err_value
+        """Verify a ticket and that it belongs to the organisation."""
+        verified = self._tickets.read(text)
+        if isinstance(verified, Err):
+            problem = verified.err_value
             if (
                 problem.ticket is None
                 or problem.ticket.organisation != organisation.name
             ):
                 return Err(NotYours())
             return Err(TicketExpired())
-        if read.ok_value.organisation != organisation.name:
+        if verified.ok_value.organisation != organisation.name:
             return Err(NotYours())
-        return Ok(read.ok_value)
+        return Ok(verified.ok_value)
 
     async def _refuse(self, res: Responder, problem: ResumeError, ctx: Context) -> None:
         self._metrics.count("refusals", reason=type(problem).__name__)
@@ -276,7 +286,7 @@
         else:
             await send_unknown_generation(res, ctx.headers)
 
-    def _open(self, ctx: Context, ticket: Ticket, offset: int) -> EngineStream:
+    def _open_stream(self, ctx: Context, ticket: Ticket, offset: int) -> EngineStream:
         action = current_action()
         return self._starter.open(
             address=Address.parse(ticket.address),
@@ -287,11 +297,11 @@
             headers=task_headers(action) if action is not None else {},
         )
 
-    def _renew(self, ticket: Ticket) -> str:
+    def _renew_ticket(self, ticket: Ticket) -> str:
         expires_at = self._clock.wall() + self._ticket_seconds
         return self._tickets.issue(replace(ticket, expires_at=expires_at))
 
-    def _head(self, ticket: Ticket) -> AnswerHead:
+    def _answer_head(self, ticket: Ticket) -> AnswerHead:
         prefix = SHAPES[ticket.shape].answer_prefix
         return AnswerHead(
             answer_id=f"{prefix}{ticket.generation_id}",
@@ -300,27 +310,27 @@
         )
 
     @staticmethod
-    def _grant(ticket: Ticket) -> Grant:
+    def _grant_of(ticket: Ticket) -> Grant:
         return Grant(grant_id=ticket.generation_id, engine=ticket.engine)
 
 
-def _without_offset(path: str) -> str:
+def _strip_offset(path: str) -> str:
     split = split_event_id(path)
     return split.ok_value[0] if isinstance(split, Ok) else path
 
 
-def _read_offset(
+def _parse_offset(
     ctx: Context, path: str, query: dict[str, list[str]]
 ) -> Result[int, Finding]:
-    """Return where to go on: ``from``, else the header, else the path, else 0."""
+    """Return the offset from ``from``, else from the header, the path, or 0."""
     text = query.get("from", [None])[-1]
     if text is not None:
         if not text.isascii() or not text.isdigit() or len(text) > 9:
             return Err(Finding(place="from", problem="should be a count of tokens"))
         return Ok(int(text))
-    last = ctx.req.headers.get(LAST_EVENT_HEADER)
-    if last is not None:
-        split = split_event_id(last)
+    last_event_id = ctx.req.headers.get(LAST_EVENT_HEADER)
+    if last_event_id is not None:
+        split = split_event_id(last_event_id)
         if isinstance(split, Err):
             problem = "should be the id of an event: TICKET.OFFSET"
             return Err(Finding(place=LAST_EVENT_HEADER, problem=problem))
--- a/celerytrail/callers/leavers.py
+++ b/celerytrail/callers/leavers.py
@@ -1,11 +1,12 @@
-"""What becomes of a generation whose caller has gone.
+"""Keeps a generation running for a while after its caller has disconnected.
 
-The caller may come back, here or at another node, with its ticket: it may have lost
-only its connection or its node. So the generation goes on for a grace. Then this node
-cancels it, but only if nobody has begun to read it since this node did: the engine
-numbers its readings, and refuses a cancel that names an older one. That also holds
-for a node that was frozen while its caller resumed elsewhere. Where the node itself
-dies, the engine gives a generation up that nobody reads.
+The caller may have lost only its connection or its node, and may resume with its ticket
+at this node or another one. So the generation continues for a grace period. Then this
+node cancels it, unless another reader has opened it since: the engine numbers the
+readers of a generation and refuses a cancel that names an older one. This also protects
+the generation from a node that was frozen while the caller resumed elsewhere. If the
+node itself fails, the engine cancels the generation once it has been unread for some
+time.
 """
 
 from __future__ import annotations
@@ -19,20 +20,20 @@
 from .starting import BackgroundTasks
 
 RESUME_GRACE_SECONDS = 20.0
-MAX_WAITING = 2_000
+N_MAX_PENDING_CANCELS = 2_000
 
 
 class Leavers:
-    """Generations that wait for their callers to come back.
+    """Cancels generations whose callers have disconnected, after a grace period.
 
     Parameters
     ----------
     admitter : Admitter
-        Told when one has ended.
+        Gets the end of each generation.
     tasks : BackgroundTasks
-        Where the waiting is done.
+        Runs the waits and the cancels.
     grace_seconds : float
-        How long a caller has to come back.
+        How long a caller may take to resume, in seconds.
     """
 
     def __init__(
@@ -45,19 +46,20 @@
         self._admitter = admitter
         self._tasks = tasks
         self._grace_seconds = grace_seconds
-        self._n_waiting = 0
+        self._n_pending_cancels = 0
 
-    def note(self, stream: EngineStream, grant: Grant, *, can_return: bool) -> None:
-        """Take over a generation whose caller has gone.
+    def handle(self, stream: EngineStream, grant: Grant, *, can_return: bool) -> None:
+        """Stop reading a generation and schedule its cancel.
 
         Parameters
         ----------
         stream : EngineStream
-            The reading of it, which stops now.
+            The generation's stream, which is abandoned now.
         grant : Grant
-            Its place.
+            The generation's grant.
         can_return : bool
-            Whether the caller holds a ticket; otherwise it is cancelled at once.
+            Whether the caller has a ticket with which it can resume. If not, the
+            generation is cancelled without a grace period.
         """
         stream.abandon()
         log_message(
@@ -71,13 +73,13 @@
     async def _cancel_later(
         self, stream: EngineStream, grant: Grant, can_return: bool
     ) -> None:
-        self._n_waiting += 1
+        self._n_pending_cancels += 1
         try:
-            # Past the bound no grace is given, so that a storm of leaving callers
-            # can't fill this node's memory.
-            if can_return and self._n_waiting <= MAX_WAITING:
+            # Above the limit there is no grace period, so that many disconnects at
+            # once can't exhaust this node's memory.
+            if can_return and self._n_pending_cancels <= N_MAX_PENDING_CANCELS:
                 await asyncio.sleep(self._grace_seconds)
             await stream.cancel(only_if_last_reader=can_return)
         finally:
-            self._n_waiting -= 1
+            self._n_pending_cancels -= 1
             self._admitter.finish(grant, stream.offset, "cancelled")
--- a/celerytrail/callers/starting.py
+++ b/celerytrail/callers/starting.py
@@ -1,7 +1,8 @@
-"""Starts generations: admission, the engine, and another engine where one is lost.
+"""Starts generations: admission, the request to an engine, and retries elsewhere.
 
-Until the caller has its first token nothing is promised to it, so a generation may be
-begun anew at another engine. After that it may not: two generations are never spliced.
+Until the caller has received its first token, a generation may be restarted at another
+engine. After that it may not, as the tokens of two generations are never combined into
+one answer.
 """
 
 from __future__ import annotations
@@ -30,19 +31,19 @@
 
 RETRY_AFTER_SECONDS = 2.0
 
-OWN_ID_BITS = 128
+ADMIT_ID_BITS = 128
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class GenerationFailed:
-    """No token came, and at least one engine may have begun.
+    """No token was received, and at least one engine may have started the generation.
 
     Parameters
     ----------
     reason, detail : str
-        What became of the last try.
+        Why the last attempt failed.
     retry_after : float
-        Seconds after which to come back.
+        Seconds after which the caller may retry.
     """
 
     reason: str
@@ -52,24 +53,25 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class StartRequest:
-    """A checked request by a known organisation.
+    """A validated request of an authenticated organisation.
 
     Parameters
     ----------
     request_id : str
-        Names the request in logs and towards the admitter.
+        The caller's request id.
     organisation : OrganisationSpec
-        Who asks.
+        The organisation that sent the request.
     model, adapter : str
-        What is to answer; an empty adapter for none.
+        The model and the adapter to use; an empty adapter for none.
     body : GenerationBody
-        What the caller sent.
+        The request's body.
     n_max_tokens : int
-        The most tokens, with the model's room considered.
+        Maximum number of tokens to generate, bounded by the model's context.
     queue_deadline, deadline : float
-        Monotonic times until which it may wait for an engine, and last in all.
+        Monotonic seconds until which the request may wait for an engine, and until
+        which it must have ended.
     headers : Mapping
-        Sent to the engine, such as the task of the log.
+        Headers to send to the engine, such as the log's task id.
     """
 
     request_id: str
@@ -84,8 +86,8 @@
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
-class Started:
-    """A generation whose first tokens, or whose end, are here."""
+class StartedGeneration:
+    """A generation of which the first tokens, or the end, have been received."""
 
     grant: Grant
     stream: EngineStream
@@ -94,8 +96,20 @@
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
-class _Failed:
-    """One try that brought nothing."""
+class _FailedAttempt:
+    """An attempt at one engine that returned no token.
+
+    Parameters
+    ----------
+    engine : str
+        The engine's name in the document.
+    reason, detail : str
+        Why the attempt failed.
+    is_not_run : bool
+        Whether the engine certainly didn't start the generation.
+    is_final : bool
+        Whether no other engine should be tried.
+    """
 
     engine: str
     reason: str
@@ -113,19 +127,19 @@
 
 
 class BackgroundTasks:
-    """Tasks that outlive the request that began them, such as cancels."""
+    """Runs tasks that outlive the request that created them, such as cancels."""
 
     def __init__(self) -> None:
         self._tasks: set[asyncio.Task[None]] = set()
 
-    def spawn(self, work: Coroutine[object, object, object]) -> None:
-        """Run something; what it raises goes to the log, not to nowhere."""
-        task = asyncio.get_running_loop().create_task(_logged(work))
+    def spawn(self, coro: Coroutine[object, object, object]) -> None:
+        """Run a coroutine as a task and log the exception that it raises, if any."""
+        task = asyncio.get_running_loop().create_task(_run_logged(coro))
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
     def close(self) -> None:
-        """Cancel whatever still runs."""
+        """Cancel all running tasks."""
         for task in self._tasks:
             task.cancel()
 
@@ -136,17 +150,18 @@
     Parameters
     ----------
     configuration : Configuration
-        Names the engines.
+        Lists the engines.
     admitter : Admitter
-        Decides when and where.
+        Decides when and on which engine a generation starts.
     client : EngineClient
-        Speaks to engines.
+        Sends requests to engines.
     retries : RetryPolicy
-        Its budget, per organisation, pays for each try after the first.
+        Decides about each attempt after the first, with a retry budget per
+        organisation.
     clock, rng, policy, counters
-        Handed to each stream.
+        Passed to each stream.
     tasks : BackgroundTasks
-        Where cancels run.
+        Runs the cancels of generations that are no longer wanted.
     """
 
     def __init__(
@@ -174,8 +189,16 @@
 
     async def start(
         self, req: StartRequest, excluded: tuple[str, ...] = ()
-    ) -> Result[Started, StartError]:
-        """Return a generation with its first tokens, trying several engines."""
+    ) -> Result[StartedGeneration, StartError]:
+        """Start a generation, trying other engines until one returns tokens.
+
+        Parameters
+        ----------
+        req : StartRequest
+            What to generate.
+        excluded : tuple of str
+            Engines that are not tried.
+        """
         key = req.organisation.name
         self._retries.first_attempt(key)
         may_have_run = False
@@ -183,29 +206,29 @@
         while True:
             n_attempts += 1
             if self._clock.monotonic() >= req.deadline:
-                return Err(_outcome(DEADLINE_PASSED, may_have_run))
+                return Err(_start_error(DEADLINE_PASSED, may_have_run))
             admitted = await self._admit(req, excluded)
             if isinstance(admitted, Err):
-                return Err(_outcome(admitted.err_value, may_have_run))
-            tried = await self._try(req, admitted.ok_value)
-            if isinstance(tried, Started):
-                return Ok(tried)
-            may_have_run |= not tried.is_not_run
-            excluded = (*excluded, tried.engine)
-            not_run = NotRun(reason=tried.reason, detail=tried.detail)
-            if tried.is_final:
-                return Err(_outcome(not_run, may_have_run))
+                return Err(_start_error(admitted.err_value, may_have_run))
+            attempt = await self._attempt(req, admitted.ok_value)
+            if isinstance(attempt, StartedGeneration):
+                return Ok(attempt)
+            may_have_run |= not attempt.is_not_run
+            excluded = (*excluded, attempt.engine)
+            not_run = NotRun(reason=attempt.reason, detail=attempt.detail)
+            if attempt.is_final:
+                return Err(_start_error(not_run, may_have_run))
             now = self._clock.monotonic()
-            decided = self._retries.decide(
+            decision = self._retries.decide(
                 key,
                 n_attempts=n_attempts,
                 not_run=not_run,
                 deadline=min(req.deadline, req.queue_deadline),
                 now=now,
             )
-            if isinstance(decided, NotRun):
-                return Err(_outcome(decided, may_have_run))
-            await asyncio.sleep(decided.at - now)
+            if isinstance(decision, NotRun):
+                return Err(_start_error(decision, may_have_run))
+            await asyncio.sleep(decision.at - now)
 
     def open(
         self,
@@ -218,7 +241,7 @@
         headers: Mapping[str, str],
         reader: TokenReader | None = None,
     ) -> EngineStream:
-        """Return a stream of a generation that has been started."""
+        """Return a stream of a started generation, from an offset on."""
         return EngineStream(
             client=self._client,
             clock=self._clock,
@@ -237,13 +260,13 @@
     async def _admit(
         self, req: StartRequest, excluded: tuple[str, ...]
     ) -> Result[Grant, NotRun]:
-        # The caller's own request id must never name anything here: two callers may
-        # use the same one, and then the second would be handed the first one's grant,
-        # and with it another organisation's answer.
-        own_id = f"{self._rng.getrandbits(OWN_ID_BITS):032x}"
+        # The caller's request id can't be used here. Two callers may send the same
+        # one, and the second would then be given the first one's grant, and with it
+        # another organisation's answer.
+        admit_id = f"{self._rng.getrandbits(ADMIT_ID_BITS):032x}"
         return await self._admitter.admit(
             AdmitRequest(
-                request_id=own_id,
+                request_id=admit_id,
                 organisation=req.organisation.name,
                 model=req.model,
                 adapter=req.adapter,
@@ -257,23 +280,25 @@
             )
         )
 
-    async def _try(self, req: StartRequest, grant: Grant) -> Started | _Failed:
-        """Try one engine; its grant is freed unless it started."""
+    async def _attempt(
+        self, req: StartRequest, grant: Grant
+    ) -> StartedGeneration | _FailedAttempt:
+        """Try the granted engine once; finish the grant unless it returns tokens."""
         log_message("callers:granted", engine=grant.engine, grant=grant.grant_id)
-        engine = self._engine(grant.engine)
+        engine = self._find_engine(grant.engine)
         if engine is None:
-            # The home has a newer document than this node, or an older one.
+            # The home and this node have different versions of the document.
             self._admitter.finish(grant, 0, "not_run")
-            return _Failed(
+            return _FailedAttempt(
                 engine=grant.engine,
                 reason="engine_not_in_document",
                 detail=f"{grant.engine} is not in the document in force here",
                 is_not_run=True,
             )
         if self._clock.monotonic() >= req.deadline:
-            # It waited for its grant until its caller had given up.
+            # The request waited for its grant past the caller's deadline.
             self._admitter.finish(grant, 0, "not_run")
-            return _Failed(
+            return _FailedAttempt(
                 engine=grant.engine,
                 reason=DEADLINE_PASSED.reason,
                 detail=DEADLINE_PASSED.detail,
@@ -283,26 +308,27 @@
         address = Address.parse(engine.address)
         end: GenerationEnd = "cancelled"
         try:
-            tried = await self._begin(req, grant, engine, address)
-            if isinstance(tried, Started):
-                return tried
-            end = "not_run" if tried.is_not_run else "lost"
+            attempt = await self._start_at_engine(req, grant, engine, address)
+            if isinstance(attempt, StartedGeneration):
+                return attempt
+            end = "not_run" if attempt.is_not_run else "lost"
         except asyncio.CancelledError:
-            # The caller has gone and can't come back: it was told no ticket.
+            # The caller has disconnected and can't resume, as it has no ticket yet.
             self._cancel(address, grant)
             self._admitter.finish(grant, 0, "cancelled")
             raise
-        if not tried.is_not_run:
+        if not attempt.is_not_run:
             self._cancel(address, grant)
         self._admitter.finish(grant, 0, end)
-        return tried
+        return attempt
 
-    async def _begin(
+    async def _start_at_engine(
         self, req: StartRequest, grant: Grant, engine: EngineSpec, address: Address
-    ) -> Started | _Failed:
+    ) -> StartedGeneration | _FailedAttempt:
+        """Send the request to an engine and wait for the first tokens."""
         opened = await self._client.generate(
             address,
-            self._order(req, grant),
+            self._generate_order(req, grant),
             deadline=min(
                 req.deadline, self._clock.monotonic() + self._policy.head_seconds
             ),
@@ -310,7 +336,7 @@
             headers=req.headers,
         )
         if isinstance(opened, Err):
-            return self._failed_open(engine, opened.err_value)
+            return self._open_failure(engine, opened.err_value)
         reader = opened.ok_value
         stream = self.open(
             address=address,
@@ -327,10 +353,12 @@
             stream.abandon()
             raise
         if isinstance(first, Err):
-            return self._failed_stream(engine, first.err_value)
-        return Started(grant=grant, stream=stream, first=first.ok_value, engine=engine)
+            return self._stream_failure(engine, first.err_value)
+        return StartedGeneration(
+            grant=grant, stream=stream, first=first.ok_value, engine=engine
+        )
 
-    def _failed_open(self, engine: EngineSpec, problem: OpenError) -> _Failed:
+    def _open_failure(self, engine: EngineSpec, problem: OpenError) -> _FailedAttempt:
         is_not_run = isinstance(problem, EngineRefused)
         if isinstance(problem, BadReply):
             self._counters.bad_replies[problem.reason] += 1
@@ -340,16 +368,16 @@
             reason=problem.reason,
             not_run=is_not_run,
         )
-        return _Failed(
+        return _FailedAttempt(
             engine=engine.name,
             reason=f"engine_{problem.reason}",
             detail=f"engine {engine.name}: {problem.reason}",
             is_not_run=is_not_run,
         )
 
-    def _failed_stream(self, engine: EngineSpec, lost: StreamLost) -> _Failed:
+    def _stream_failure(self, engine: EngineSpec, lost: StreamLost) -> _FailedAttempt:
         log_message("callers:engine_lost", engine=engine.name, reason=lost.reason)
-        return _Failed(
+        return _FailedAttempt(
             engine=engine.name,
             reason=lost.reason,
             detail=f"engine {engine.name} was lost before its first token",
@@ -357,7 +385,7 @@
             is_final=lost.reason in ("deadline", "abandoned"),
         )
 
-    def _order(self, req: StartRequest, grant: Grant) -> GenerateOrder:
+    def _generate_order(self, req: StartRequest, grant: Grant) -> GenerateOrder:
         return GenerateOrder(
             generation_id=grant.grant_id,
             model=req.model,
@@ -370,19 +398,19 @@
         )
 
     def _cancel(self, address: Address, grant: Grant) -> None:
-        """Tell an engine that may have begun that nobody wants its answer."""
+        """Cancel a generation that may have started, without waiting for the reply."""
         deadline = self._clock.monotonic() + self._policy.head_seconds
         self._tasks.spawn(
             self._client.cancel(address, grant.grant_id, deadline=deadline)
         )
 
-    def _engine(self, name: str) -> EngineSpec | None:
+    def _find_engine(self, name: str) -> EngineSpec | None:
         engines = self._configuration.current.document.engines
         return next((engine for engine in engines if engine.name == name), None)
 
 
-def _outcome(not_run: NotRun, may_have_run: bool) -> StartError:
-    """Say "not run" only where no engine can have begun."""
+def _start_error(not_run: NotRun, may_have_run: bool) -> StartError:
+    """Return "not run" only if no engine can have started the generation."""
     if not may_have_run:
         return not_run
     return GenerationFailed(
@@ -392,8 +420,8 @@
     )
 
 
-async def _logged(work: Coroutine[object, object, object]) -> None:
+async def _run_logged(coro: Coroutine[object, object, object]) -> None:
     try:
-        await work
+        await coro
     except Exception as exc:
         log_message("callers:background_failed", problem=repr(exc))
