--- a/tests/callers_rig.py
+++ b/tests/callers_rig.py
@@ -1,4 +1,4 @@
-"""Engines, nodes' callers' APIs and a caller, all in one loop on real sockets."""
+"""Stand-in engines, callers' APIs and a caller in one event loop, on real sockets."""
 
 from __future__ import annotations
 
@@ -58,7 +58,7 @@
 
 @dataclass
 class Engine:
-    """A stand-in engine in this loop."""
+    """A stand-in engine that runs in this event loop."""
 
     server: object
     task: asyncio.Task
@@ -72,7 +72,7 @@
         options = {k: fields.pop(k) for k in ("tokens", "after") if k in fields}
         self.server._faults.add(Fault(name=name, options=options, **fields))
 
-    def heal(self):
+    def clear_faults(self):
         self.server._faults.clear()
 
     async def close(self):
@@ -93,7 +93,7 @@
 
 @dataclass
 class Answer:
-    """A streamed answer as its caller has it."""
+    """A streamed answer as its caller has received it so far."""
 
     status: int = 0
     headers: dict = field(default_factory=dict)
@@ -113,7 +113,7 @@
     def n_tokens(self):
         return int(self.last_id.rpartition(".")[2])
 
-    def take(self, block):
+    def add_event(self, block):
         fields = dict(line.split(": ", 1) for line in block.decode().splitlines())
         self.last_id = fields.get("id", self.last_id)
         if fields["data"] == "[DONE]":
@@ -132,7 +132,7 @@
 
 
 class Caller:
-    """A caller that holds a key."""
+    """A client of the callers' API with a key."""
 
     def __init__(self, key=KEY):
         self.http = HttpClient(process="caller")
@@ -165,13 +165,13 @@
         return await self.open(address, "POST", "/v1/completions", body)
 
     async def read(self, stream, n_tokens=None, answer=None):
-        """Read events until the end, the cut, or so many tokens."""
+        """Read events until the end, a lost connection, or ``n_tokens`` tokens."""
         answer = answer or Answer()
         answer.status, answer.headers = stream.status, stream.headers
         while True:
             while b"\n\n" in answer.unread:
                 block, answer.unread = answer.unread.split(b"\n\n", 1)
-                answer.take(block)
+                answer.add_event(block)
                 if n_tokens is not None and answer.n_tokens >= n_tokens:
                     return answer
             chunk = await stream.next_chunk()
@@ -180,7 +180,7 @@
             answer.unread += chunk.ok_value
 
     async def resume(self, address, answer):
-        """Go on with an answer by its last event's id."""
+        """Resume an answer from the id of its last event."""
         answer.unread = b""
         stream = await self.open(
             address,
@@ -192,7 +192,7 @@
 
 
 class Rig:
-    """Some engines and nodes under one document."""
+    """Engines and callers' APIs that share one document."""
 
     def __init__(self):
         self.configuration = Configuration()
@@ -205,10 +205,10 @@
     async def add_engine(self, name="e1", **options):
         engine = await start_engine(name, **options)
         self.engines[name] = engine
-        self.offer()
+        self.offer_document()
         return engine
 
-    def offer(self, **changes):
+    def offer_document(self, **changes):
         document = Document(
             models=(ModelSpec(name="draft", version="1"),),
             organisations=(
@@ -230,7 +230,7 @@
             VersionedDocument(version=version, document=replace(document, **changes))
         )
 
-    async def add_node(self, grace=0.2, policy=POLICY, **limits):
+    async def add_node(self, grace_seconds=0.2, policy=POLICY, **limits):
         number = len(self.nodes) + 1
         api = CallersApi(
             configuration=self.configuration,
@@ -244,7 +244,7 @@
             metrics=Metrics(process=f"n{number}"),
             clock=self.clock,
             rng=random.Random(number),
-            limits=CallerLimits(resume_grace_seconds=grace, **limits),
+            limits=CallerLimits(resume_grace_seconds=grace_seconds, **limits),
             policy=policy,
         )
         router = Router()
@@ -263,12 +263,12 @@
             await engine.close()
 
     def expected(self, prompt, answer, n_tokens):
-        """Return the right text of an answer."""
+        """Return the text that an answer of ``n_tokens`` tokens should have."""
         generation_id = answer.events[0]["id"].split("-", 1)[1]
         return expected_text(prompt, generation_id, n_tokens)
 
 
 async def until(condition):
-    """Wait until something holds; the test's own time limit ends it otherwise."""
+    """Wait until a condition is true; the test's timeout bounds the wait."""
     while not condition():  # noqa: ASYNC110
         await asyncio.sleep(0.005)
--- a/tests/test_callers.py
+++ b/tests/test_callers.py
@@ -1,4 +1,4 @@
-"""The callers' API: generations streamed and whole, resumed and cancelled."""
+"""The callers' API: streamed and non-streamed generations, resume and cancel."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class TestCompletions:
-    async def test_streamed_answer_is_whole_and_in_order(self, rig):
+    async def test_streamed_answer_is_complete_and_in_order(self, rig):
         await rig.add_engine()
         _, _, node = await rig.add_node()
         stream = await rig.caller.complete(node, "a [length=30]")
@@ -24,7 +24,7 @@
         assert answer.finish_reason == "stop"
         assert answer.n_tokens == 30
 
-    async def test_whole_answer_with_usage(self, rig):
+    async def test_non_streamed_answer_with_usage(self, rig):
         await rig.add_engine()
         _, _, node = await rig.add_node()
         body = {"model": "draft", "prompt": "b [length=9]", "max_tokens": 5}
@@ -56,8 +56,8 @@
         answer = await rig.caller.request(node, "GET", "/v1/models")
         assert [m["id"] for m in answer.json()["data"]] == ["draft"]
 
-    async def test_all_findings_come_together(self, rig):
-        """A client sends several wrong fields. It is told of each, with its place."""
+    async def test_all_findings_are_reported_together(self, rig):
+        """A request has several invalid fields. The error lists each with its place."""
         await rig.add_engine()
         _, _, node = await rig.add_node()
         body = {"model": 7, "n": 2, "max_tokens": "x", "wild": 1}
@@ -75,10 +75,9 @@
 
 
 class TestResume:
-    async def test_another_node_goes_on_after_the_first_is_killed(self, rig):
-        """A bandleader's draft is streaming when its node dies. The caller resumes
-        at another node by the last event's id, and its text has neither a hole nor a
-        word twice.
+    async def test_resume_at_another_node_after_the_first_is_killed(self, rig):
+        """A node fails while a draft is streaming. The caller resumes at another node
+        by the last event's id, and no token is missing or repeated.
         """
         await rig.add_engine()
         server, _, first = await rig.add_node()
@@ -90,7 +89,7 @@
         assert answer.text == rig.expected("c [length=200]", answer, 200)
         assert answer.is_done
 
-    async def test_cancel_ends_it_at_the_engine(self, rig):
+    async def test_cancel_ends_the_generation_at_the_engine(self, rig):
         engine = await rig.add_engine()
         _, _, node = await rig.add_node()
         stream = await rig.caller.complete(node, "d [length=5000]")
--- a/tests/test_callers_failures.py
+++ b/tests/test_callers_failures.py
@@ -1,4 +1,4 @@
-"""What callers notice when engines, nodes, links and callers themselves fail."""
+"""The callers' API when engines, nodes, connections or callers fail."""
 
 from __future__ import annotations
 
@@ -16,30 +16,29 @@
     await rig.close()
 
 
-def only(engine):
+def only_generation(engine):
     (generation,) = engine.batch.generations.values()
     return generation
 
 
-class TestEngineLost:
-    async def test_dead_before_the_first_token_is_retried_elsewhere(self, rig):
-        """An engine takes the request and its connection breaks before any token.
-        Nothing was promised yet, so the caller gets its answer from another engine
-        and notices nothing.
+class TestEngineFailure:
+    async def test_failure_before_the_first_token_is_retried_elsewhere(self, rig):
+        """An engine accepts the request and its connection breaks before any token.
+        The caller has received nothing yet, so another engine answers it in full.
         """
-        bad = await rig.add_engine("e1")
-        good = await rig.add_engine("e2")
-        bad.fault("lose_reply", after_writes=0, path="/gener")
+        failing = await rig.add_engine("e1")
+        healthy = await rig.add_engine("e2")
+        failing.fault("lose_reply", after_writes=0, path="/gener")
         _, api, node = await rig.add_node()
         answer = await rig.caller.read(await rig.caller.complete(node, "a [length=20]"))
         assert answer.text == rig.expected("a [length=20]", answer, 20)
         assert answer.is_done
-        assert len(good.batch.generations) == 1
-        await until(lambda: all(g.end for g in bad.batch.generations.values()))
+        assert len(healthy.batch.generations) == 1
+        await until(lambda: all(g.end for g in failing.batch.generations.values()))
 
-    async def test_dead_after_the_first_token_ends_typed(self, rig):
-        """An engine dies in the middle of a draft. Another engine would write another
-        text, so the stream ends with an event that says what came and why.
+    async def test_failure_after_the_first_token_ends_with_an_error_event(self, rig):
+        """An engine fails in the middle of a draft. Another engine would write another
+        text, so the stream ends with an error event: its type and the tokens sent.
         """
         await rig.add_engine("e1")
         _, _, node = await rig.add_node()
@@ -54,40 +53,42 @@
         assert answer.text == rig.expected("b [length=5000]", answer, answer.n_tokens)
         assert rig.engines["e2"].batch.generations == {}
 
-    async def test_whole_answer_begins_anew_elsewhere(self, rig):
-        """An engine dies in the middle of an answer that is to be given whole. The
-        caller has no token yet, so it gets all of them from another engine.
+    async def test_non_streamed_answer_is_restarted_elsewhere(self, rig):
+        """An engine fails in the middle of a non-streamed answer. The caller has no
+        token yet, so another engine generates the answer from the start.
         """
-        bad = await rig.add_engine("e1", tokens_per_second=50.0)
+        failing = await rig.add_engine("e1", tokens_per_second=50.0)
         _, _, node = await rig.add_node()
         body = {"model": "draft", "prompt": "c [length=100]"}
         task = asyncio.create_task(
             rig.caller.request(node, "POST", "/v1/completions", body)
         )
-        await until(lambda: any(g.n_produced for g in bad.batch.generations.values()))
+        await until(
+            lambda: any(g.n_produced for g in failing.batch.generations.values())
+        )
         await rig.add_engine("e2")
-        await bad.close()
+        await failing.close()
         answer = (await task).json()
         generation_id = answer["id"].split("-", 1)[1]
         assert answer["choices"][0]["text"] == expected_text(
             "c [length=100]", generation_id, 100
         )
 
-    async def test_no_engine_is_told_at_once(self, rig):
-        """No engine has the model. The caller hears at once that nothing ran, and
-        when to come back.
+    async def test_no_engine_for_the_model_is_refused_at_once(self, rig):
+        """No engine has the model. The answer is an immediate "not run" with a time to
+        retry after.
         """
         _, _, node = await rig.add_node()
-        rig.offer()
+        rig.offer_document()
         body = {"model": "draft", "prompt": "d"}
         answer = await rig.caller.request(node, "POST", "/v1/completions", body)
         assert answer.status == 503
         assert answer.json()["error"]["not_run"] is True
         assert int(answer.headers["retry-after"]) >= 1
 
-    async def test_what_may_have_begun_is_not_called_not_run(self, rig):
-        """The only engine takes requests and its connections break. It may have
-        begun, so the caller isn't told that nothing ran.
+    async def test_lost_attempt_is_not_reported_as_not_run(self, rig):
+        """The only engine accepts requests and its connections break. It may have
+        started a generation, so the error doesn't say "not run".
         """
         engine = await rig.add_engine()
         engine.fault("lose_reply", after_writes=0, path="/gener")
@@ -98,8 +99,8 @@
         assert answer.json()["error"]["not_run"] is False
 
     async def test_retries_stay_within_the_budget(self, rig):
-        """All engines break for a while. Each caller's retries are paid for from a
-        budget, so that the engines don't get many times the load when they come back.
+        """All engines fail for a while. A retry budget limits the retries of each
+        organisation, so that the engines aren't overloaded when they recover.
         """
         engines = [await rig.add_engine(f"e{n}") for n in range(4)]
         for engine in engines:
@@ -111,33 +112,34 @@
         assert sum(len(e.batch.generations) for e in engines) <= 20 + 3 + 2
 
 
-class TestCallerLeft:
-    async def test_cancelled_after_the_grace(self, rig):
-        """A parent closes the page in the middle of an answer. After a grace the
-        engine is told, so that its memory goes to others.
+class TestCallerDisconnects:
+    async def test_cancelled_after_the_grace_period(self, rig):
+        """A caller disconnects in the middle of an answer. After the grace period the
+        node cancels the generation, which frees the engine's memory.
         """
         engine = await rig.add_engine()
-        _, _, node = await rig.add_node(grace=0.05)
+        _, _, node = await rig.add_node(grace_seconds=0.05)
         stream = await rig.caller.complete(node, "g [length=5000]")
         await rig.caller.read(stream, n_tokens=5)
         stream.close()
-        await until(lambda: only(engine).end == "cancelled")
+        await until(lambda: only_generation(engine).end == "cancelled")
 
     async def test_cancelled_at_once_before_the_first_token(self, rig):
-        """A caller leaves before it has anything by which it could come back."""
+        """A caller disconnects before it has a ticket, so it can't resume."""
         engine = await rig.add_engine(prefill_tokens_per_second=0.5)
-        _, _, node = await rig.add_node(grace=3600.0)
+        _, _, node = await rig.add_node(grace_seconds=3600.0)
         task = asyncio.create_task(rig.caller.complete(node, "h [length=50]"))
         await until(lambda: engine.batch.generations)
         task.cancel()
-        await until(lambda: only(engine).end == "cancelled")
+        await until(lambda: only_generation(engine).end == "cancelled")
 
-    async def test_not_cancelled_where_it_goes_on_at_another_node(self, rig):
-        """A node is frozen, its caller resumes elsewhere, and the node wakes to find
-        its caller gone. Were it to cancel then, the draft would be cut elsewhere.
+    async def test_not_cancelled_after_a_resume_at_another_node(self, rig):
+        """A node is frozen and its caller resumes at another node. When the first node
+        wakes, it finds its caller disconnected, and its cancel after the grace period
+        would end the draft at the second node.
         """
         engine = await rig.add_engine()
-        _, first_api, first = await rig.add_node(grace=0.05)
+        _, first_api, first = await rig.add_node(grace_seconds=0.05)
         _, _, second = await rig.add_node()
         stream = await rig.caller.complete(first, "i [length=400]")
         answer = await rig.caller.read(stream, n_tokens=5)
@@ -145,26 +147,26 @@
         await rig.caller.resume(second, answer)
         assert answer.is_done
         assert answer.text == rig.expected("i [length=400]", answer, 400)
-        assert only(engine).end == "stop"
+        assert only_generation(engine).end == "stop"
 
-    async def test_engine_gives_up_what_nobody_reads(self, rig):
-        """A node dies and its caller never comes back: no node knows of it."""
+    async def test_engine_cancels_an_unread_generation(self, rig):
+        """A node fails and its caller never resumes, so no node sends a cancel."""
         engine = await rig.add_engine(unread_seconds=0.1)
         server, _, node = await rig.add_node()
         stream = await rig.caller.complete(node, "j [length=9000]")
         await rig.caller.read(stream, n_tokens=5)
         await server.close()
-        await until(lambda: only(engine).end == "cancelled")
+        await until(lambda: only_generation(engine).end == "cancelled")
 
-    async def test_slow_caller_takes_bounded_memory(self, rig):
-        """A caller stops reading. What waits for it stays at its engine, and neither
-        its node nor other callers notice.
+    async def test_slow_caller_uses_bounded_memory(self, rig):
+        """A caller stops reading. Its tokens stay at the engine, so that neither the
+        node's memory nor other callers are affected.
         """
         engine = await rig.add_engine(tokens_per_second=20_000.0)
         _, api, node = await rig.add_node()
         stream = await rig.caller.complete(node, "k [length=18000]")
         stream._conn.transport.pause_reading()
-        await until(lambda: only(engine).end == "stop")
+        await until(lambda: only_generation(engine).end == "stop")
         other = await rig.caller.read(await rig.caller.complete(node, "l [length=9]"))
         assert other.is_done
         assert api.counters.n_tokens < 18_000
@@ -174,18 +176,18 @@
 
 
 class TestDeadline:
-    async def test_passed_in_the_middle_ends_typed_and_cancels(self, rig):
-        """The caller said when it would give up, and the draft is longer."""
+    async def test_passed_in_mid_stream_ends_with_an_error_and_cancels(self, rig):
+        """The draft takes longer than the timeout that the caller has set."""
         engine = await rig.add_engine()
         _, _, node = await rig.add_node()
         stream = await rig.caller.complete(node, "m [length=9000]", timeout=1.0)
         answer = await rig.caller.read(stream)
         assert answer.error["type"] == "deadline_passed"
-        await until(lambda: only(engine).end == "cancelled")
+        await until(lambda: only_generation(engine).end == "cancelled")
 
     async def test_passed_before_the_first_token(self, rig):
-        """The engine is too slow for the caller's deadline. The answer comes at the
-        deadline and says that an engine had begun.
+        """The engine is too slow for the caller's deadline. The error is sent at the
+        deadline and doesn't say "not run", as an engine had started.
         """
         await rig.add_engine(prefill_tokens_per_second=0.01)
         _, _, node = await rig.add_node()
@@ -203,21 +205,23 @@
         stream = await rig.caller.complete(node, "o [length=30]")
         return node, await rig.caller.read(stream)
 
-    async def test_of_another_organisation_is_as_unknown(self, rig):
-        """Another organisation has got hold of a ticket. It learns nothing from it,
-        not even that it is real.
+    async def test_ticket_of_another_organisation_is_refused_as_unknown(self, rig):
+        """Another organisation presents a valid ticket. Its answer is the same as for
+        a made-up ticket, so it can't find out that the ticket exists.
         """
         node, answer = await self.start(rig)
-        thief = Caller(OTHER_KEY)
+        other_caller = Caller(OTHER_KEY)
         for method in ("GET", "DELETE"):
             path = f"/v1/generations/{answer.ticket}"
-            stolen = await thief.request(node, method, path)
-            made_up = await thief.request(node, method, "/v1/generations/bm9uc2Vuc2U")
-            assert stolen.status == made_up.status == 404
-            assert stolen.json() == made_up.json()
+            foreign = await other_caller.request(node, method, path)
+            unknown = await other_caller.request(
+                node, method, "/v1/generations/bm9uc2Vuc2U"
+            )
+            assert foreign.status == unknown.status == 404
+            assert foreign.json() == unknown.json()
 
-    async def test_forged(self, rig):
-        """A caller changes a ticket, or makes one up, to read what isn't its own."""
+    async def test_forged_ticket_is_refused(self, rig):
+        """A caller changes characters of a ticket to read another generation."""
         node, answer = await self.start(rig)
         for place in (0, 30, -1):
             letters = list(answer.ticket)
@@ -243,40 +247,41 @@
             ("sream=true", "sream"),
         ],
     )
-    async def test_bad_parameters(self, rig, query, place):
+    async def test_bad_parameters_are_refused(self, rig, query, place):
         node, answer = await self.start(rig)
         path = f"/v1/generations/{answer.ticket}?{query}"
         refused = await rig.caller.request(node, "GET", path)
         assert refused.status == 400
         assert refused.json()["error"]["place"] == place
 
-    async def test_engine_dropped_from_the_document(self, rig):
-        """An operator takes an engine out while a draft runs there and its node
-        dies. A change of the document cuts no work, so the caller can resume.
+    async def test_resume_after_the_engine_left_the_document(self, rig):
+        """An operator removes an engine from the document while a draft runs on it, and
+        the node fails. A change of the document ends no generation, so the caller can
+        resume.
         """
         await rig.add_engine()
         server, _, first = await rig.add_node()
         _, _, second = await rig.add_node()
         stream = await rig.caller.complete(first, "p [length=100]")
         answer = await rig.caller.read(stream, n_tokens=10)
-        rig.offer(engines=())
+        rig.offer_document(engines=())
         await server.close()
         await rig.caller.resume(second, answer)
         assert answer.is_done
 
-    async def test_generation_is_gone(self, rig):
-        """The engine was restarted. The caller learns that the rest can't come."""
+    async def test_resume_of_a_lost_generation_is_refused(self, rig):
+        """The engine was restarted and has lost the generation, so no resume is possible."""
         node, answer = await self.start(rig)
         rig.engines["e1"].batch.generations.clear()
         path = f"/v1/generations/{answer.ticket}?from=3"
-        gone = await rig.caller.request(node, "GET", path)
-        assert gone.status == 410
-        assert gone.json()["error"]["can_resume"] is False
+        refused = await rig.caller.request(node, "GET", path)
+        assert refused.status == 410
+        assert refused.json()["error"]["can_resume"] is False
 
 
 class TestStalls:
-    async def test_counted_by_cause(self, rig):
-        """A link to an engine goes silent in the middle of a draft."""
+    async def test_stalls_are_counted_by_cause(self, rig):
+        """A connection to an engine stalls in the middle of a draft."""
         engine = await rig.add_engine()
         engine.fault("stall", after_writes=5, n=1, path="/generate")
         _, api, node = await rig.add_node(
