--- a/tests/test_callers_failures.py
+++ b/tests/test_callers_failures.py
@@ -233,8 +233,8 @@
         node, answer = await self.start(rig)
         path = f"/v1/generations/{answer.ticket}?from=28&stream=false"
         rest = (await rig.caller.request(node, "GET", path)).json()
-        whole = rig.expected("o [length=30]", answer, 30)
-        assert whole.endswith(rest["choices"][0]["text"])
+        full_text = rig.expected("o [length=30]", answer, 30)
+        assert full_text.endswith(rest["choices"][0]["text"])
         assert rest["from"] == 28
 
     @pytest.mark.parametrize(
@@ -270,7 +270,7 @@
         assert answer.is_done
 
     async def test_resume_of_a_lost_generation_is_refused(self, rig):
-        """The engine was restarted and has lost the generation, so no resume is possible."""
+        """The engine was restarted, so the generation is lost and can't be resumed."""
         node, answer = await self.start(rig)
         rig.engines["e1"].batch.generations.clear()
         path = f"/v1/generations/{answer.ticket}?from=3"
