--- a/celerytrail/callers/api.py
+++ b/celerytrail/callers/api.py
@@ -1,4 +1,4 @@
-"""The callers' API for generations: its routes, and what each request begins with."""
+"""The callers' API for generations: its routes and the checks common to them."""
 
 from __future__ import annotations
 
@@ -31,23 +31,23 @@
 from .starting import BackgroundTasks, GenerationStarter
 from .tickets import TicketSigner
 
-Answer = Callable[[Context, Responder, Params], Awaitable[None]]
+RequestHandler = Callable[[Context, Responder, Params], Awaitable[None]]
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class CallerLimits:
-    """How long things may take towards callers, in seconds.
+    """Time limits of callers' requests, in seconds.
 
     Parameters
     ----------
     queue_seconds : float
-        How long a request may wait for an engine.
+        Longest wait of a request for an engine.
     generation_seconds : float
-        The most that a request may take in all.
+        Longest time of a whole request, from arrival to its last token.
     ticket_seconds : float
-        How long a ticket can be used.
+        Time for which a ticket is valid.
     resume_grace_seconds : float
-        How long a generation whose caller has gone is left to run.
+        Time for which a generation runs on after its caller has disconnected.
     """
 
     queue_seconds: float = 20.0
@@ -57,32 +57,32 @@
 
 
 class CallersApi:
-    """Serves generations to callers.
+    """Serves the generation routes to callers.
 
     Parameters
     ----------
     configuration : Configuration
-        Names organisations, models and engines.
+        Defines organisations, models and engines.
     authenticator : Authenticator
-        Finds the organisation of a request.
+        Identifies the organisation that sent a request.
     admitter : Admitter
-        Decides when and where generations start.
+        Decides when and on which engine a generation starts.
     engines : EngineClient
-        Speaks to engines.
+        Client for the engines' API.
     retries : RetryPolicy
-        Pays for tries after the first.
+        Holds the retry budget for attempts after the first.
     tickets : TicketSigner
-        Names streams.
+        Issues and reads the tickets of streams.
     metrics : Metrics
-        Of this process.
+        Metrics of this process.
     clock : Clock
-        Of all deadlines.
+        Clock for all deadlines.
     rng : random.Random
-        Of all jitter.
+        Source of jitter.
     limits : CallerLimits or None
-        How long things may take.
+        Time limits; None for the defaults.
     policy : StreamPolicy or None
-        How long streams wait for engines.
+        Timeouts of the streams from engines; None for the defaults.
     """
 
     def __init__(
@@ -150,40 +150,51 @@
         )
 
     def add_routes(self, router: Router) -> None:
-        """Serve the routes of generations and models."""
+        """Register the routes of generations and models."""
         ticket = "/v1/generations/{ticket}"
-        self._add(router, "POST", "/v1/completions", self._complete)
-        self._add(router, "POST", "/v1/chat/completions", self._chat)
-        self._add(router, "GET", "/v1/models", self._list_models)
-        self._add(router, "GET", ticket, self._generations.resume)
-        self._add(router, "DELETE", ticket, self._generations.cancel)
+        self._add_route(router, "POST", "/v1/completions", self._complete)
+        self._add_route(router, "POST", "/v1/chat/completions", self._chat)
+        self._add_route(router, "GET", "/v1/models", self._list_models)
+        self._add_route(router, "GET", ticket, self._generations.resume)
+        self._add_route(router, "DELETE", ticket, self._generations.cancel)
 
     @property
     def n_streams(self) -> int:
-        """Return how many requests are being answered."""
+        """Return the number of requests in progress."""
         return self._n_streams
 
     def flush_metrics(self) -> None:
-        """Hand over what was counted; to be called before metrics are rendered."""
+        """Add the counters to the metrics; call it before metrics are rendered."""
         self.counters.flush(self._metrics)
         self._metrics.set("streams", self._n_streams)
 
     def close(self) -> None:
-        """Forget callers that may come back; engines give up what nobody reads."""
+        """Cancel the background tasks.
+
+        Generations that are waiting for their callers to resume are not cancelled here:
+        engines cancel generations that nobody reads.
+        """
         self._tasks.close()
 
-    def _add(self, router: Router, method: str, path: str, answer: Answer) -> None:
+    def _add_route(
+        self, router: Router, method: str, path: str, handler: RequestHandler
+    ) -> None:
         async def handle(req: Request, res: Responder, params: Params) -> None:
-            await self._handle(req, res, params, path, answer)
+            await self._handle(req, res, params, path, handler)
 
         router.add(method, path, handle)
 
     async def _handle(
-        self, req: Request, res: Responder, params: Params, route: str, answer: Answer
+        self,
+        req: Request,
+        res: Responder,
+        params: Params,
+        route: str,
+        handler: RequestHandler,
     ) -> None:
-        who = self._authenticator.authenticate(req)
-        if isinstance(who, Err):
-            await send_auth_error(res, who.err_value)
+        authenticated = self._authenticator.authenticate(req)
+        if isinstance(authenticated, Err):
+            await send_auth_error(res, authenticated.err_value)
             self._metrics.count("requests", route=route, status="401")
             return
         request_id = read_request_id(req)
@@ -195,21 +206,21 @@
             return
         ctx = Context(
             req=req,
-            organisation=who.ok_value,
+            organisation=authenticated.ok_value,
             request_id=request_id.ok_value,
             deadline=deadline.ok_value,
         )
         self._n_streams += 1
         try:
-            with self._action(ctx, route) as action:
-                await answer(ctx, res, params)
+            with self._start_action(ctx, route) as action:
+                await handler(ctx, res, params)
                 action.add_success_fields(status=res.status)
         finally:
             self._n_streams -= 1
             status = str(res.status) if res.status is not None else "gone"
             self._metrics.count("requests", route=route, status=status)
 
-    def _action(self, ctx: Context, route: str) -> Action:
+    def _start_action(self, ctx: Context, route: str) -> Action:
         return continue_task(
             ctx.req.headers.get(TASK_HEADER),
             "callers:request",
@@ -233,9 +244,9 @@
                 continue
             names.append(model.name)
             names += [
-                f"{model.name}:{a.name}"
-                for a in document.adapters
-                if a.model == model.name
+                f"{model.name}:{adapter.name}"
+                for adapter in document.adapters
+                if adapter.model == model.name
             ]
         data = [
             {"id": name, "object": "model", "created": 0, "owned_by": "celerytrail"}
--- a/celerytrail/callers/service_api.py
+++ b/celerytrail/callers/service_api.py
@@ -1,4 +1,4 @@
-"""The callers' routes for plain services: make a call, ask what became of one."""
+"""Routes on which callers call plain services and query the state of a call."""
 
 from __future__ import annotations
 
@@ -25,14 +25,14 @@
 DEADLINE_HEADER = "x-deadline-at"
 OUTCOME_HEADER = "celerytrail-outcome"
 REPLAYED_HEADER = "celerytrail-replayed"
-STATUS_SECONDS = 2.0
+STATUS_READ_TIMEOUT_SECONDS = 2.0
 
 
-class OrganisationFinder(Protocol):
-    """Tells which organisation a request comes from."""
+class RequestAuthenticator(Protocol):
+    """Identifies the organisation that sent a request."""
 
     def authenticate(self, req: Request) -> Result[OrganisationSpec, AuthError]:
-        """Return the organisation, or why there is none."""
+        """Return the organisation, or the reason why the request has none."""
 
 
 class ServiceApi:
@@ -41,16 +41,16 @@
     Parameters
     ----------
     calls : ServiceCalls
-        Makes the calls.
+        Makes the calls and reads their records.
     configuration : Configuration
-        Names services and operations.
-    authenticator : OrganisationFinder
-        Tells whose a request is.
+        Defines the services and their operations.
+    authenticator : RequestAuthenticator
+        Identifies the organisation that sent a request.
     clock : Clock
-        Its monotonic time must be the loop's.
+        Its monotonic time must be the event loop's.
     call_seconds : float
-        How long a call may take when its caller names no deadline, and the most that
-        a caller may ask for.
+        Time limit of a call whose caller sets no deadline, in seconds; also the
+        latest deadline that a caller may set.
     """
 
     def __init__(
@@ -58,7 +58,7 @@
         *,
         calls: ServiceCalls,
         configuration: Configuration,
-        authenticator: OrganisationFinder,
+        authenticator: RequestAuthenticator,
         clock: Clock,
         call_seconds: float = 30.0,
     ) -> None:
@@ -69,25 +69,25 @@
         self._call_seconds = call_seconds
 
     def add_routes(self, router: Router) -> None:
-        """Add this API's routes."""
+        """Register the routes of this API."""
         router.add("POST", "/v1/services/{service}/{operation}", self._call)
         router.add("GET", "/v1/services/{service}/calls/{key}", self._status)
 
     async def _call(self, req: Request, res: Responder, params: Params) -> None:
-        found = await self._find(req, res, params["service"])
-        if found is None:
+        resolved = await self._find_service(req, res, params["service"])
+        if resolved is None:
             return
-        organisation, service = found
-        operation = _operation(service, params["operation"])
+        organisation, service = resolved
+        operation = _find_operation(service, params["operation"])
         if operation is None:
             message = f"{service.name} has no operation {params['operation']!r}"
             await send_error(
                 res, 404, "no_such_operation", place="path", message=message
             )
             return
-        read = self._read_call(req, organisation, service, operation)
-        if isinstance(read, Err):
-            finding = read.err_value
+        parsed = self._read_call(req, organisation, service, operation)
+        if isinstance(parsed, Err):
+            finding = parsed.err_value
             await send_error(
                 res, 400, "bad_request", place=finding.place, message=finding.problem
             )
@@ -99,8 +99,12 @@
             service=service.name,
             operation=operation.name,
         ) as action:
-            result = await self._calls.call(read.ok_value)
-            outcome = "answered" if isinstance(result, Ok) else _kind(result.err_value)
+            result = await self._calls.call(parsed.ok_value)
+            outcome = (
+                "answered"
+                if isinstance(result, Ok)
+                else _outcome_name(result.err_value)
+            )
             action.add_success_fields(outcome=outcome)
         if isinstance(result, Ok):
             await _send_answer(res, result.ok_value)
@@ -108,26 +112,26 @@
             await _send_call_error(res, result.err_value)
 
     async def _status(self, req: Request, res: Responder, params: Params) -> None:
-        found = await self._find(req, res, params["service"])
-        if found is None:
+        resolved = await self._find_service(req, res, params["service"])
+        if resolved is None:
             return
-        organisation, service = found
-        deadline = self._clock.monotonic() + STATUS_SECONDS
-        asked = await self._calls.status(
+        organisation, service = resolved
+        deadline = self._clock.monotonic() + STATUS_READ_TIMEOUT_SECONDS
+        status = await self._calls.status(
             organisation.name, service.name, params["key"], deadline
         )
-        if isinstance(asked, Err):
+        if isinstance(status, Err):
             await send_error(
                 res,
                 503,
                 "status_unavailable",
                 place="platform",
                 message="the record can't be read now; this says nothing of the call",
-                headers=_retry_headers(asked.err_value.retry_after),
-                retry_after=asked.err_value.retry_after,
+                headers=_retry_headers(status.err_value.retry_after),
+                retry_after=status.err_value.retry_after,
             )
             return
-        if asked.ok_value is None:
+        if status.ok_value is None:
             await send_error(
                 res,
                 404,
@@ -137,12 +141,12 @@
                 "ago may still make one, and sending it again with its key is safe",
             )
             return
-        await _send_status(res, asked.ok_value)
+        await _send_status(res, status.ok_value)
 
-    async def _find(
+    async def _find_service(
         self, req: Request, res: Responder, name: str
     ) -> tuple[OrganisationSpec, ServiceSpec] | None:
-        """Return who asks and for which service, or answer why not."""
+        """Return organisation and service, or send the error and return None."""
         match self._authenticator.authenticate(req):
             case Err(error):
                 await send_error(
@@ -157,7 +161,7 @@
             case Ok(organisation):
                 pass
         document = self._configuration.current.document
-        service = next((s for s in document.services if s.name == name), None)
+        service = next((spec for spec in document.services if spec.name == name), None)
         if service is None:
             message = f"there is no service {name!r}"
             await send_error(res, 404, "no_such_service", place="path", message=message)
@@ -176,16 +180,16 @@
         operation: OperationSpec,
     ) -> Result[ServiceCall, Finding]:
         key = req.headers.get(KEY_HEADER)
-        problem = _key_problem(key, operation)
+        problem = _check_key(key, operation)
         if problem is not None:
             return Err(Finding(place=KEY_HEADER, problem=problem))
         try:
             msgspec.json.decode(req.body)
         except (msgspec.DecodeError, RecursionError) as exc:
             return Err(Finding(place="body", problem=f"must be JSON: {exc}"))
-        deadline = self._read_deadline(req.headers.get(DEADLINE_HEADER))
-        if isinstance(deadline, Err):
-            return Err(deadline.err_value)
+        deadline_at = self._read_deadline(req.headers.get(DEADLINE_HEADER))
+        if isinstance(deadline_at, Err):
+            return Err(deadline_at.err_value)
         return Ok(
             ServiceCall(
                 organisation=organisation.name,
@@ -193,31 +197,31 @@
                 operation=operation.name,
                 body=req.body,
                 key=key if not operation.idempotent else None,
-                deadline=self._clock.deadline_of_wall(deadline.ok_value),
-                deadline_at=deadline.ok_value,
+                deadline=self._clock.deadline_of_wall(deadline_at.ok_value),
+                deadline_at=deadline_at.ok_value,
             )
         )
 
     def _read_deadline(self, text: str | None) -> Result[float, Finding]:
-        """Return the wall time until which the caller waits, bounded by the setting."""
-        latest = self._clock.wall() + self._call_seconds
+        """Return the caller's deadline as wall time, limited by ``call_seconds``."""
+        latest_at = self._clock.wall() + self._call_seconds
         if text is None:
-            return Ok(latest)
+            return Ok(latest_at)
         try:
-            asked = float(text)
+            deadline_at = float(text)
         except ValueError:
-            asked = math.nan
-        if not math.isfinite(asked):
+            deadline_at = math.nan
+        if not math.isfinite(deadline_at):
             problem = "must be seconds since the epoch, such as 1893456000.5"
             return Err(Finding(place=DEADLINE_HEADER, problem=problem))
-        return Ok(min(asked, latest))
+        return Ok(min(deadline_at, latest_at))
 
 
-def _operation(service: ServiceSpec, name: str) -> OperationSpec | None:
+def _find_operation(service: ServiceSpec, name: str) -> OperationSpec | None:
     return next((op for op in service.operations if op.name == name), None)
 
 
-def _key_problem(key: str | None, operation: OperationSpec) -> str | None:
+def _check_key(key: str | None, operation: OperationSpec) -> str | None:
     if key is None:
         if operation.idempotent:
             return None
@@ -230,7 +234,7 @@
     return None
 
 
-def _kind(error: CallError) -> str:
+def _outcome_name(error: CallError) -> str:
     match error:
         case NotRun():
             return "not_run"
@@ -264,14 +268,14 @@
 
 
 async def _send_call_error(res: Responder, error: CallError) -> None:
-    kind = _kind(error)
-    headers = {OUTCOME_HEADER: kind}
+    outcome_name = _outcome_name(error)
+    headers = {OUTCOME_HEADER: outcome_name}
     match error:
         case NotRun(reason=reason, detail=detail, retry_after=retry_after):
             await send_error(
                 res,
                 503,
-                kind,
+                outcome_name,
                 place="call",
                 message=detail or "the call was not run",
                 headers=headers | _retry_headers(retry_after),
@@ -282,7 +286,7 @@
             await send_error(
                 res,
                 504,
-                kind,
+                outcome_name,
                 place="call",
                 message="the call may or may not have run; it is not sent again",
                 headers=headers,
@@ -293,7 +297,7 @@
             await send_error(
                 res,
                 422,
-                kind,
+                outcome_name,
                 place=KEY_HEADER,
                 message=f"this key belongs to another call, of {operation}; "
                 "this one was not run",
@@ -303,7 +307,7 @@
             await send_error(
                 res,
                 409,
-                kind,
+                outcome_name,
                 place=KEY_HEADER,
                 message="a call with this key is being made",
                 headers=headers | _retry_headers(retry_after),
