--- a/celerytrail/callers/shapes.py
+++ b/celerytrail/callers/shapes.py
@@ -1,4 +1,4 @@
-"""How tokens are wrapped for callers: the shapes that completion clients expect."""
+"""Response formats of the completion APIs: JSON bodies and server-sent events."""
 
 from __future__ import annotations
 
@@ -12,22 +12,22 @@
 
 EVENT_STREAM_TYPE = "text/event-stream; charset=utf-8"
 DONE_EVENT = b"data: [DONE]\n\n"
-_MARK = "\u0000token\u0000"
+_TOKEN_PLACEHOLDER = "\u0000token\u0000"
 _decode_text = msgspec.json.Decoder(str).decode
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class AnswerHead:
-    """What all parts of one answer share.
+    """Fields common to all parts of one answer.
 
     Parameters
     ----------
     answer_id : str
-        The answer's id towards the caller.
+        Id of the answer that the caller gets.
     model : str
-        As the caller wrote it.
+        Name of the model as the caller wrote it.
     created : int
-        Wall time, in whole seconds.
+        Wall time of the start, in whole seconds.
     """
 
     answer_id: str
@@ -36,23 +36,33 @@
 
 
 class Shape(abc.ABC):
-    """One way to wrap an answer's tokens."""
+    """Response format of one completion API.
+
+    Attributes
+    ----------
+    name : str
+        Name of the format in request bodies and tickets.
+    answer_prefix : str
+        Prefix of the answers' ids.
+    chunk_object, response_object : str
+        Value of the field ``object`` in a streamed chunk and in a complete response.
+    """
 
     name: str
     answer_prefix: str
-    chunk_kind: str
-    whole_kind: str
+    chunk_object: str
+    response_object: str
 
     @abc.abstractmethod
     def chunk_choice(self, text: str, finish_reason: str | None) -> dict[str, object]:
-        """Return the one choice of a streamed chunk."""
+        """Return the single choice of a streamed chunk."""
 
     @abc.abstractmethod
-    def whole_choice(self, text: str, finish_reason: str) -> dict[str, object]:
-        """Return the one choice of a whole answer."""
+    def response_choice(self, text: str, finish_reason: str) -> dict[str, object]:
+        """Return the single choice of a complete response."""
 
     def opening(self, head: AnswerHead) -> dict[str, object] | None:
-        """Return a chunk that comes before the first token, if there is one."""
+        """Return the chunk to send before the first token, if there is one."""
         return None
 
     def chunk(
@@ -61,14 +71,14 @@
         """Return one streamed chunk."""
         return {
             "id": head.answer_id,
-            "object": self.chunk_kind,
+            "object": self.chunk_object,
             "created": head.created,
             "model": head.model,
             "choices": [self.chunk_choice(text, finish_reason)],
         }
 
     def usage_chunk(self, head: AnswerHead, finished: Finished) -> dict[str, object]:
-        """Return the chunk that tells the usage."""
+        """Return the chunk with the token usage."""
         return {
             **self.chunk(head, "", None),
             "choices": [],
@@ -78,28 +88,28 @@
     def whole(
         self, head: AnswerHead, tokens: Iterable[bytes], finished: Finished
     ) -> dict[str, object]:
-        """Return a whole answer from its tokens' JSON strings."""
+        """Return a complete response built from the JSON strings of its tokens."""
         text = "".join(_decode_text(token) for token in tokens)
         return {
             "id": head.answer_id,
-            "object": self.whole_kind,
+            "object": self.response_object,
             "created": head.created,
             "model": head.model,
-            "choices": [self.whole_choice(text, finished.end)],
+            "choices": [self.response_choice(text, finished.end)],
             "usage": usage(finished),
         }
 
 
 class CompletionShape(Shape):
-    """The shape of ``/v1/completions``."""
+    """Response format of ``/v1/completions``."""
 
     name = "completion"
     answer_prefix = "cmpl-"
-    chunk_kind = "text_completion"
-    whole_kind = "text_completion"
+    chunk_object = "text_completion"
+    response_object = "text_completion"
 
     def chunk_choice(self, text: str, finish_reason: str | None) -> dict[str, object]:
-        """Return a choice with the text itself."""
+        """Return a choice with the text."""
         return {
             "index": 0,
             "text": text,
@@ -107,31 +117,31 @@
             "finish_reason": finish_reason,
         }
 
-    def whole_choice(self, text: str, finish_reason: str) -> dict[str, object]:
-        """Return the same with all the text."""
+    def response_choice(self, text: str, finish_reason: str) -> dict[str, object]:
+        """Return a choice with the complete text."""
         return self.chunk_choice(text, finish_reason)
 
 
 class ChatShape(Shape):
-    """The shape of ``/v1/chat/completions``."""
+    """Response format of ``/v1/chat/completions``."""
 
     name = "chat"
     answer_prefix = "chatcmpl-"
-    chunk_kind = "chat.completion.chunk"
-    whole_kind = "chat.completion"
+    chunk_object = "chat.completion.chunk"
+    response_object = "chat.completion"
 
     def chunk_choice(self, text: str, finish_reason: str | None) -> dict[str, object]:
-        """Return a choice with a delta; the last delta is empty."""
+        """Return a choice with a delta, which is empty in the last chunk."""
         delta = {"content": text} if finish_reason is None else {}
         return {"index": 0, "delta": delta, "finish_reason": finish_reason}
 
-    def whole_choice(self, text: str, finish_reason: str) -> dict[str, object]:
+    def response_choice(self, text: str, finish_reason: str) -> dict[str, object]:
         """Return a choice with the assistant's message."""
         message = {"role": "assistant", "content": text}
         return {"index": 0, "message": message, "finish_reason": finish_reason}
 
     def opening(self, head: AnswerHead) -> dict[str, object] | None:
-        """Return the chunk that names the role."""
+        """Return the chunk that sets the assistant's role."""
         chunk = self.chunk(head, "", None)
         delta = {"role": "assistant", "content": ""}
         chunk["choices"] = [{"index": 0, "delta": delta, "finish_reason": None}]
@@ -144,7 +154,7 @@
 
 
 def usage(finished: Finished) -> dict[str, int]:
-    """Return the usage counts of an ended generation."""
+    """Return the token usage of a finished generation."""
     n_prompt = finished.n_prompt_tokens or 0
     return {
         "prompt_tokens": n_prompt,
@@ -154,49 +164,51 @@
 
 
 class EventWriter:
-    """Makes the events of one streamed answer.
+    """Encodes one streamed answer as server-sent events.
 
-    The JSON around a token is made once, and the token's own JSON, checked when it
-    was read, is put between unread: this is the path that every token takes.
+    The JSON around a token is encoded once per answer. The token's own JSON string was
+    validated when it was read from the engine and is inserted without being parsed,
+    because every token passes through here.
 
     Parameters
     ----------
     shape : Shape
-        How tokens are wrapped.
+        Response format.
     head : AnswerHead
-        What all chunks share.
+        Fields common to all chunks.
     ticket : str
-        The ticket's text, for the event ids.
+        Text of the ticket, for the event ids.
     """
 
     def __init__(self, *, shape: Shape, head: AnswerHead, ticket: str) -> None:
         self._shape = shape
         self._head = head
         self._ticket = ticket
-        chunk = msgspec.json.encode(shape.chunk(head, _MARK, None))
-        before, after = chunk.split(msgspec.json.encode(_MARK))
-        self._id = f"id: {ticket}.".encode()
-        self._before = b"\ndata: " + before
-        self._after = after + b"\n\n"
+        chunk = msgspec.json.encode(shape.chunk(head, _TOKEN_PLACEHOLDER, None))
+        prefix, suffix = chunk.split(msgspec.json.encode(_TOKEN_PLACEHOLDER))
+        self._id_prefix = f"id: {ticket}.".encode()
+        self._data_prefix = b"\ndata: " + prefix
+        self._data_suffix = suffix + b"\n\n"
 
     def opening(self, offset: int) -> bytes:
-        """Return what comes before the first token of a new answer."""
+        """Return the event sent before the first token of a new answer, if any."""
         chunk = self._shape.opening(self._head)
         return b"" if chunk is None else self._event(offset, chunk)
 
     def tokens(self, tokens: Tokens) -> bytes:
-        """Return one event for each token, ready to be written at once."""
-        number = tokens.offset
+        """Return one event per token, joined for a single write."""
+        offset = tokens.offset
         parts = []
         for token in tokens.tokens:
-            number += 1
+            offset += 1
             parts.append(
-                b"%b%d%b%b%b" % (self._id, number, self._before, token, self._after)
+                b"%b%d%b%b%b"
+                % (self._id_prefix, offset, self._data_prefix, token, self._data_suffix)
             )
         return b"".join(parts)
 
     def ending(self, finished: Finished, *, does_include_usage: bool) -> bytes:
-        """Return the events that end a whole answer."""
+        """Return the events that end a complete answer."""
         n_tokens = finished.n_tokens
         chunk = self._shape.chunk(self._head, "", finished.end)
         parts = [self._event(n_tokens, chunk)]
@@ -208,11 +220,18 @@
         return b"".join(parts)
 
     def error(self, offset: int, error: dict[str, object]) -> bytes:
-        """Return the event that ends an answer which is not whole."""
+        """Return the event that ends an incomplete answer."""
         body = msgspec.json.encode({"error": error})
-        number = str(offset).encode()
-        return b"event: error\n" + self._id + number + b"\ndata: " + body + b"\n\n"
+        offset_text = str(offset).encode()
+        return (
+            b"event: error\n"
+            + self._id_prefix
+            + offset_text
+            + b"\ndata: "
+            + body
+            + b"\n\n"
+        )
 
     def _event(self, offset: int, chunk: dict[str, object]) -> bytes:
         body = msgspec.json.encode(chunk)
-        return self._id + str(offset).encode() + b"\ndata: " + body + b"\n\n"
+        return self._id_prefix + str(offset).encode() + b"\ndata: " + body + b"\n\n"
--- a/celerytrail/callers/tickets.py
+++ b/celerytrail/callers/tickets.py
@@ -1,7 +1,7 @@
-"""Signed, self-describing names of streams, so that any node can resume any of them.
+"""Signed, self-describing names of streams, with which any node can resume a stream.
 
-A ticket holds all that is needed to read the stream on, so nothing is stored. Only
-nodes can make one: they share the keys by which it is signed.
+A ticket contains everything that is needed to resume its stream, so nodes store nothing
+for it. Only nodes can issue tickets: they share the signing keys.
 """
 
 from __future__ import annotations
@@ -27,24 +27,25 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Ticket:
-    """What a ticket says.
+    """The contents of a ticket.
 
     Parameters
     ----------
     organisation : str
-        Whose generation it is.
+        Organisation that the generation belongs to.
     engine, incarnation : str
-        The engine's name in the document, and the process of it.
+        Name of the engine in the document, and id of its process.
     address : str
-        ``IP:PORT`` of the engine, so that a change of the document cuts no stream.
+        ``IP:PORT`` of the engine; kept here so that a change of the document doesn't
+        interrupt a stream.
     generation_id : str
-        The generation at that engine.
+        Id of the generation at that engine.
     model : str
-        The model as the caller named it.
+        Name of the model as the caller wrote it.
     shape : str
-        ``completion`` or ``chat``: how the tokens are wrapped.
+        Response format: ``completion`` or ``chat``.
     expires_at : float
-        Wall time, in seconds, after which it is refused.
+        Wall time from which the ticket is refused, in seconds.
     """
 
     organisation: str
@@ -59,14 +60,14 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class TicketError:
-    """Why a ticket is not taken: ``malformed``, ``forged`` or ``expired``.
+    """The reason why a ticket is refused.
 
     Parameters
     ----------
     reason : str
-        Which of them.
+        ``malformed``, ``forged`` or ``expired``.
     ticket : Ticket or None
-        What an expired one said.
+        Contents of an expired ticket; otherwise None.
     """
 
     reason: str
@@ -74,7 +75,10 @@
 
 
 class _Payload(msgspec.Struct, array_like=True):
-    """A ticket's bytes: an array, as each event carries one."""
+    """Encoded form of a ticket.
+
+    It is an array to keep it short, as each event carries a ticket.
+    """
 
     key_id: str
     organisation: str
@@ -88,17 +92,18 @@
 
 
 class TicketSigner:
-    """Makes and reads tickets.
+    """Issues and verifies tickets.
 
     Parameters
     ----------
     keys : Mapping of str to bytes
-        Secrets by key id; all are taken for reading, so a key can be replaced by
-        adding the new one everywhere, then making it current, then dropping the old.
+        Signing secrets by key id. Tickets of all of them are accepted, so a key is
+        rotated by adding the new one at all nodes, then making it current, then
+        removing the old one.
     current : str
-        The key id by which new tickets are signed.
+        Id of the key that signs new tickets.
     clock : Clock
-        Its wall time ends tickets.
+        Its wall time decides when tickets expire.
     """
 
     def __init__(
@@ -109,7 +114,7 @@
         self._clock = clock
 
     def issue(self, ticket: Ticket) -> str:
-        """Return a ticket's text."""
+        """Sign a ticket and return its text."""
         payload = _Payload(
             key_id=self._current,
             organisation=ticket.organisation,
@@ -126,13 +131,13 @@
         return base64.urlsafe_b64encode(signature + body).decode().rstrip("=")
 
     def read(self, text: str) -> Result[Ticket, TicketError]:
-        """Check a ticket's text and return what it says."""
+        """Verify the text of a ticket and return the ticket."""
         if len(text) > MAX_TICKET_CHARACTERS:
             return Err(TicketError(reason="malformed"))
         try:
             padded = text + "=" * (-len(text) % 4)
-            whole = base64.b64decode(padded, altchars=b"-_", validate=True)
-            body = whole[SIGNATURE_BYTES:]
+            signed = base64.b64decode(padded, altchars=b"-_", validate=True)
+            body = signed[SIGNATURE_BYTES:]
             payload = msgspec.msgpack.decode(body, type=_Payload)
             Address.parse(payload.address)
             shape = SHAPES[payload.shape]
@@ -140,8 +145,8 @@
             return Err(TicketError(reason="malformed"))
         key = self._keys.get(payload.key_id, b"")
         expected = _sign(key, body)
-        is_right = hmac.compare_digest(expected, whole[:SIGNATURE_BYTES])
-        if not key or not is_right:
+        is_valid = hmac.compare_digest(expected, signed[:SIGNATURE_BYTES])
+        if not key or not is_valid:
             return Err(TicketError(reason="forged"))
         ticket = Ticket(
             organisation=payload.organisation,
@@ -159,7 +164,7 @@
 
 
 def split_event_id(event_id: str) -> Result[tuple[str, int], TicketError]:
-    """Split ``TICKET.OFFSET`` into the ticket's text and the offset to go on from."""
+    """Split ``TICKET.OFFSET`` into the ticket's text and the offset to resume from."""
     text, separator, offset = event_id.rpartition(".")
     is_number = offset.isascii() and offset.isdigit()
     if not separator or not is_number or len(offset) > MAX_OFFSET_DIGITS:
