--- a/celerytrail/callers/addresses.py
+++ b/celerytrail/callers/addresses.py
@@ -1,4 +1,4 @@
-"""Which addresses callers should use, and for how long they may keep the answer."""
+"""The nodes' addresses for callers, with the time for which callers may cache them."""
 
 from __future__ import annotations
 
@@ -14,25 +14,25 @@
 from ..http.routes import Params, Router
 from ..http.server import Responder
 
-ADDRESS_SECONDS = 30.0
-MAX_NEAR = 4
-MAX_FAR = 4
+ADDRESS_TTL_SECONDS = 30.0
+MAX_LOCAL_NODES = 4
+MAX_REMOTE_NODES = 4
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class MemberAddress:
-    """A node as this node knows it.
+    """A node's address and state, as this node knows them.
 
     Parameters
     ----------
     node : str
-        Its name.
+        Name of the node.
     address : str
-        ``IP:PORT`` at which it takes callers.
+        ``IP:PORT`` at which it serves callers.
     failure_domain, region : str
-        Where it runs.
+        Location of the node.
     state : {"alive", "suspect", "leaving", "dead"}
-        Only those alive are named to callers.
+        Membership state; only nodes in state ``alive`` are returned to callers.
     """
 
     node: str
@@ -43,28 +43,29 @@
 
 
 class MemberSource(abc.ABC):
-    """Knows the nodes, this one included."""
+    """Source of the known nodes, including this node."""
 
     @abc.abstractmethod
     def members(self) -> Iterable[MemberAddress]:
-        """Return all nodes that are known, with their states."""
+        """Return all known nodes with their states."""
 
 
 class AddressesApi:
-    """Answers ``GET /v1/addresses``.
+    """Serves ``GET /v1/addresses``.
 
     Parameters
     ----------
     source : MemberSource
-        Where the nodes are known.
+        Source of the known nodes.
     failure_domain, region : str
-        Those of this node, taken as the caller's where it names none.
+        Location of this node; used for callers that don't send a failure domain.
     clock : Clock
-        Its wall time dates the expiry.
+        Its wall time is the base of ``expires_at``.
     rng : random.Random
-        Shuffles equals, so that callers don't all take the same first node.
+        Shuffles nodes of equal rank, so that callers don't all use the same first node.
     address_seconds : float
-        For how long an answer may be used; a leaving node stays open that long.
+        Time for which callers may use an answer, in seconds; a leaving node accepts
+        requests for that long.
     """
 
     def __init__(
@@ -75,7 +76,7 @@
         region: str = "",
         clock: Clock,
         rng: random.Random,
-        address_seconds: float = ADDRESS_SECONDS,
+        address_seconds: float = ADDRESS_TTL_SECONDS,
     ) -> None:
         self._source = source
         self._failure_domain = failure_domain
@@ -85,15 +86,15 @@
         self._address_seconds = address_seconds
 
     def add_routes(self, router: Router) -> None:
-        """Serve the route."""
+        """Register the route."""
         router.add("GET", "/v1/addresses", self._answer)
 
     def choose(self, failure_domain: str) -> list[MemberAddress]:
-        """Return nodes to use, best first.
+        """Return the nodes for a caller, in order of preference.
 
-        First come some of the caller's failure domain, then some of its region
-        elsewhere, then of other regions: a caller whose failure domain is lost finds
-        another in the answer that it holds.
+        Nodes of the caller's failure domain come first, then nodes of other failure
+        domains, those of its region before those of other regions, so that a caller
+        whose failure domain fails has addresses in another one in its cached answer.
         """
         alive = [m for m in self._source.members() if m.state == "alive"]
         self._rng.shuffle(alive)
@@ -101,13 +102,18 @@
             (m.region for m in alive if m.failure_domain == failure_domain),
             self._region,
         )
-        near = [m for m in alive if m.failure_domain == failure_domain]
-        far = [m for m in alive if m.failure_domain != failure_domain]
-        far.sort(key=lambda m: m.region != region)
-        return near[:MAX_NEAR] + _spread(far, lambda m: m.failure_domain)[:MAX_FAR]
+        local = [m for m in alive if m.failure_domain == failure_domain]
+        remote = [m for m in alive if m.failure_domain != failure_domain]
+        remote.sort(key=lambda m: m.region != region)
+        return (
+            local[:MAX_LOCAL_NODES]
+            + _interleave_groups(remote, lambda m: m.failure_domain)[:MAX_REMOTE_NODES]
+        )
 
     async def _answer(self, req: Request, res: Responder, params: Params) -> None:
-        asked = parse_qs(req.query).get("failure_domain", [self._failure_domain])[0]
+        failure_domain = parse_qs(req.query).get(
+            "failure_domain", [self._failure_domain]
+        )[0]
         expires_at = round(self._clock.wall() + self._address_seconds, 3)
         addresses = [
             {
@@ -115,21 +121,21 @@
                 "failure_domain": member.failure_domain,
                 "expires_at": expires_at,
             }
-            for member in self.choose(asked)
+            for member in self.choose(failure_domain)
         ]
         value = {"addresses": addresses, "expires_at": expires_at}
         await res.send_json(200, value, {"cache-control": "no-store"})
 
 
-def _spread(
-    members: list[MemberAddress], group: Callable[[MemberAddress], str]
+def _interleave_groups(
+    members: list[MemberAddress], group_of: Callable[[MemberAddress], str]
 ) -> list[MemberAddress]:
-    """Order members so that each group's first comes before any group's second."""
+    """Order members so that each group's first precedes every group's second."""
     n_seen: dict[str, int] = {}
     ranked = []
-    for number, member in enumerate(members):
-        rank = n_seen.get(group(member), 0)
-        n_seen[group(member)] = rank + 1
-        ranked.append((rank, number, member))
+    for position, member in enumerate(members):
+        rank = n_seen.get(group_of(member), 0)
+        n_seen[group_of(member)] = rank + 1
+        ranked.append((rank, position, member))
     ranked.sort(key=lambda item: item[:2])
     return [member for _, _, member in ranked]
--- a/celerytrail/callers/auth.py
+++ b/celerytrail/callers/auth.py
@@ -1,4 +1,4 @@
-"""Which organisation a request comes from, by its API key."""
+"""Identification of organisations by API key."""
 
 from __future__ import annotations
 
@@ -18,14 +18,14 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class AuthError:
-    """Why a request has no organisation; it never holds the key.
+    """The reason why a request can't be authenticated; it never contains the key.
 
     Parameters
     ----------
     reason : str
         ``no_key``, ``bad_scheme`` or ``unknown_key``.
     message : str
-        A sentence for a person.
+        Human-readable explanation.
     """
 
     reason: str
@@ -33,21 +33,21 @@
 
 
 class Authenticator:
-    """Finds the organisation whose key a request carries.
+    """Finds the organisation to which a request's API key belongs.
 
     Parameters
     ----------
     configuration : Configuration
-        Its document holds the SHA-256 of each key.
+        Its document holds the SHA-256 digest of each key.
     """
 
     def __init__(self, *, configuration: Configuration) -> None:
-        self._by_digest: dict[str, OrganisationSpec] = {}
-        self._index(configuration.current)
-        configuration.subscribe(self._index)
+        self._organisations_by_digest: dict[str, OrganisationSpec] = {}
+        self._index_keys(configuration.current)
+        configuration.subscribe(self._index_keys)
 
     def authenticate(self, req: Request) -> Result[OrganisationSpec, AuthError]:
-        """Return the organisation, or why there is none."""
+        """Return the organisation, or the reason why the request has none."""
         header = req.headers.get("authorization")
         if header is None:
             message = "send your API key as 'Authorization: Bearer KEY'"
@@ -58,27 +58,28 @@
             message = "the header must be 'Authorization: Bearer KEY'"
             return Err(AuthError(reason="bad_scheme", message=message))
         digest = hashlib.sha256(key.encode("utf-8", "replace")).hexdigest()
-        organisation = self._by_digest.get(digest)
-        if organisation is None or not _holds(organisation, digest):
+        organisation = self._organisations_by_digest.get(digest)
+        if organisation is None or not _has_digest(organisation, digest):
             message = "no organisation has this key"
             return Err(AuthError(reason="unknown_key", message=message))
         return Ok(organisation)
 
-    def _index(self, versioned: VersionedDocument) -> None:
-        self._by_digest = {
+    def _index_keys(self, versioned: VersionedDocument) -> None:
+        self._organisations_by_digest = {
             digest.lower(): organisation
             for organisation in versioned.document.organisations
             for digest in organisation.key_digests
         }
 
 
-def _holds(organisation: OrganisationSpec, digest: str) -> bool:
-    """Compare in constant time.
+def _has_digest(organisation: OrganisationSpec, digest: str) -> bool:
+    """Check in constant time that a digest belongs to an organisation.
 
-    The look-up before compares digests, of which a caller can't choose a prefix, so
-    its timing tells nothing of a key; this makes sure of it.
+    The dictionary lookup before it compares digests, whose prefix a caller can't
+    choose, so its timing reveals nothing about a key. This comparison is an additional
+    safeguard.
     """
-    is_held = False
-    for known in organisation.key_digests:
-        is_held |= hmac.compare_digest(known.lower().encode(), digest.encode())
-    return is_held
+    is_match = False
+    for known_digest in organisation.key_digests:
+        is_match |= hmac.compare_digest(known_digest.lower().encode(), digest.encode())
+    return is_match
--- a/celerytrail/callers/context.py
+++ b/celerytrail/callers/context.py
@@ -1,4 +1,4 @@
-"""What every generation route does first: who asks, until when, under which id."""
+"""Context of a generation request: organisation, deadline and request id."""
 
 from __future__ import annotations
 
@@ -14,23 +14,23 @@
 from ..types import Finding
 
 DEADLINE_HEADER = "x-deadline-at"
-MAX_REQUEST_ID = 128
+MAX_REQUEST_ID_CHARACTERS = 128
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Context:
-    """One caller's request.
+    """An authenticated request of a caller.
 
     Parameters
     ----------
     req : Request
-        As it came.
+        The request as received.
     organisation : OrganisationSpec
-        Who asks.
+        Organisation that sent the request.
     request_id : str
-        The caller's, or a new one.
+        The caller's request id, or a generated one.
     deadline : float
-        Monotonic time at which the caller gives up.
+        Monotonic time when the caller stops waiting, in seconds.
     """
 
     req: Request
@@ -40,17 +40,17 @@
 
     @property
     def headers(self) -> dict[str, str]:
-        """Return the headers that every answer carries."""
+        """Return the headers common to all answers."""
         return {REQUEST_ID_HEADER: self.request_id}
 
 
 def read_request_id(req: Request) -> Result[str, Finding]:
-    """Return the caller's request id, or make one."""
+    """Return the caller's request id, or generate one."""
     text = req.headers.get(REQUEST_ID_HEADER)
     if text is None:
         return Ok(f"r-{secrets.token_hex(8)}")
-    if not 0 < len(text) <= MAX_REQUEST_ID or not text.isascii():
-        problem = f"should have 1 to {MAX_REQUEST_ID} ASCII characters"
+    if not 0 < len(text) <= MAX_REQUEST_ID_CHARACTERS or not text.isascii():
+        problem = f"should have 1 to {MAX_REQUEST_ID_CHARACTERS} ASCII characters"
         return Err(Finding(place=REQUEST_ID_HEADER, problem=problem))
     return Ok(text)
 
@@ -63,21 +63,21 @@
     Parameters
     ----------
     req : Request
-        May carry ``x-deadline-at``: wall time, in seconds.
+        May have the header ``x-deadline-at``: wall time, in seconds.
     clock : Clock
-        Turns it into monotonic time.
+        Converts wall time to monotonic time.
     max_seconds : float
-        The most that is given.
+        Longest time from now to the deadline.
     """
-    latest = clock.monotonic() + max_seconds
+    latest_deadline = clock.monotonic() + max_seconds
     text = req.headers.get(DEADLINE_HEADER)
     if text is None:
-        return Ok(latest)
+        return Ok(latest_deadline)
     try:
-        at = float(text)
+        deadline_at = float(text)
     except ValueError:
-        at = math.nan
-    if not math.isfinite(at):
+        deadline_at = math.nan
+    if not math.isfinite(deadline_at):
         problem = "should be seconds since the epoch"
         return Err(Finding(place=DEADLINE_HEADER, problem=problem))
-    return Ok(min(latest, clock.deadline_of_wall(at)))
+    return Ok(min(latest_deadline, clock.deadline_of_wall(deadline_at)))
--- a/celerytrail/callers/memberaddresses.py
+++ b/celerytrail/callers/memberaddresses.py
@@ -1,4 +1,4 @@
-"""The nodes, as address answers name them."""
+"""Adapter from the gossiped membership table to the source of the address API."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 StateName = Literal["alive", "suspect", "leaving", "dead"]
 
-_NAMES: dict[State, StateName] = {
+_STATE_NAMES: dict[State, StateName] = {
     State.ALIVE: "alive",
     State.LEAVING: "leaving",
     State.SUSPECT: "suspect",
@@ -20,26 +20,26 @@
 
 
 class NodesSource(MemberSource):
-    """Gives the members that gossip knows.
+    """Provides the members of the gossiped membership table.
 
     Parameters
     ----------
     nodes : Nodes
-        What this node knows of the others and itself.
+        Membership table of this node.
     """
 
     def __init__(self, *, nodes: Nodes) -> None:
         self._nodes = nodes
 
     def members(self) -> Iterable[MemberAddress]:
-        """Return all members, this node included."""
+        """Return all members, including this node."""
         return [
             MemberAddress(
                 node=member.node,
                 address=str(member.caller),
                 failure_domain=member.failure_domain,
                 region=member.region,
-                state=_NAMES[member.state],
+                state=_STATE_NAMES[member.state],
             )
             for member in self._nodes.members()
         ]
