--- a/celerytrail/callers/shapes.py
+++ b/celerytrail/callers/shapes.py
@@ -61,7 +61,7 @@
     def response_choice(self, text: str, finish_reason: str) -> dict[str, object]:
         """Return the single choice of a complete response."""
 
-    def opening(self, head: AnswerHead) -> dict[str, object] | None:
+    def opening_chunk(self, head: AnswerHead) -> dict[str, object] | None:
         """Return the chunk to send before the first token, if there is one."""
         return None
 
@@ -140,7 +140,7 @@
         message = {"role": "assistant", "content": text}
         return {"index": 0, "message": message, "finish_reason": finish_reason}
 
-    def opening(self, head: AnswerHead) -> dict[str, object] | None:
+    def opening_chunk(self, head: AnswerHead) -> dict[str, object] | None:
         """Return the chunk that sets the assistant's role."""
         chunk = self.chunk(head, "", None)
         delta = {"role": "assistant", "content": ""}
@@ -192,7 +192,7 @@
 
     def opening(self, offset: int) -> bytes:
         """Return the event sent before the first token of a new answer, if any."""
-        chunk = self._shape.opening(self._head)
+        chunk = self._shape.opening_chunk(self._head)
         return b"" if chunk is None else self._event(offset, chunk)
 
     def tokens(self, tokens: Tokens) -> bytes:
