--- a/tests/test_callers_input.py
+++ b/tests/test_callers_input.py
@@ -1,4 +1,4 @@
-"""What callers send wrongly, which addresses they get, and which keys are known."""
+"""Invalid requests of callers, the addresses that they get, and their API keys."""
 
 from __future__ import annotations
 
@@ -78,7 +78,7 @@
         read_body("chat", data)
 
     def test_deep_nesting_is_refused(self):
-        """A caller sends a body that is nested many thousand levels deep."""
+        """A body nested many thousand levels deep must not exhaust the stack."""
         deep = b'{"prompt":' + b"[" * 100_000 + b"]" * 100_000 + b"}"
         assert read_body("completion", deep).is_err()
 
@@ -103,16 +103,16 @@
             ("model", ""),
         ],
     )
-    def test_place_is_named(self, field, value):
+    def test_finding_names_the_field(self, field, value):
         body = {"model": "draft", "prompt": "a", field: value}
         read = read_body("completion", msgspec.json.encode(body))
         assert [f.place for f in read.err_value] == [field]
 
 
-class TestHeads:
-    async def test_huge_head_in_one_piece(self, rig):
-        """A caller sends a head of 20 KB in one piece. It is told the limit; taken,
-        each such caller would hold that much memory.
+class TestHeaders:
+    async def test_oversized_head_is_refused(self, rig):
+        """A request head of 20 KB that arrives in one piece is refused as too large.
+        If it were accepted, each such caller would occupy that much memory.
         """
         await rig.add_engine()
         _, _, node = await rig.add_node()
@@ -123,7 +123,7 @@
         assert answer.json()["error"]["type"] == "too_large"
 
     @pytest.mark.parametrize("text", ["", "x" * 129, "\xe9"])
-    def test_bad_request_id(self, text):
+    def test_bad_request_id_is_refused(self, text):
         req = Request(method="GET", path="/", headers={"x-request-id": text})
         assert read_request_id(req).err_value.place == "x-request-id"
 
@@ -135,7 +135,7 @@
             ("x-deadline-at", "inf"),
         ],
     )
-    async def test_bad_deadline(self, rig, name, value):
+    async def test_bad_deadline_is_refused(self, rig, name, value):
         await rig.add_engine()
         _, _, node = await rig.add_node()
         answer = await rig.caller.request(
@@ -145,7 +145,7 @@
         assert answer.json()["error"]["place"] == name
 
     async def test_deadline_in_the_past_is_answered_at_once(self, rig):
-        """A request arrives after its caller gave up. Nothing is started for it."""
+        """A request that arrives after its deadline starts no generation."""
         engine = await rig.add_engine()
         _, _, node = await rig.add_node()
         body = {"model": "draft", "prompt": "a"}
@@ -158,7 +158,7 @@
         assert engine.batch.generations == {}
 
 
-class Members(MemberSource):
+class FixedMembers(MemberSource):
     def __init__(self, *members):
         self._members = members
 
@@ -176,9 +176,9 @@
     )
 
 
-def addresses(*members, seed=1):
+def addresses_api(*members, seed=1):
     return AddressesApi(
-        source=Members(*members),
+        source=FixedMembers(*members),
         failure_domain="fd1",
         clock=ManualClock(),
         rng=random.Random(seed),
@@ -186,36 +186,40 @@
 
 
 class TestAddresses:
-    def test_near_first_and_others_behind(self):
+    def test_own_failure_domain_comes_first(self):
         nodes = [member(n, f"fd{n % 3}") for n in range(30)]
-        chosen = addresses(*nodes).choose("fd2")
+        chosen = addresses_api(*nodes).choose("fd2")
         domains = [m.failure_domain for m in chosen]
         assert domains[:4] == ["fd2"] * 4
         assert set(domains[4:6]) == {"fd0", "fd1"}
 
     def test_leaving_and_suspect_nodes_are_left_out(self):
-        """A node is about to stop, another does not answer. Callers that are sent
-        there would wait for nothing.
+        """Nodes that are about to stop or don't respond aren't returned: callers would
+        wait for them in vain.
         """
         states = ["leaving", "suspect", "dead", "alive"]
         nodes = [member(n, "fd1", state) for n, state in enumerate(states)]
-        assert [m.node for m in addresses(*nodes).choose("fd1")] == ["n3"]
+        assert [m.node for m in addresses_api(*nodes).choose("fd1")] == ["n3"]
 
-    def test_callers_are_spread(self):
+    def test_first_node_varies_between_callers(self):
         nodes = [member(n, "fd1") for n in range(4)]
-        firsts = {addresses(*nodes, seed=s).choose("fd1")[0].node for s in range(50)}
-        assert len(firsts) == 4
-
-    def test_own_region_goes_before_others(self):
-        near, far = member(1, "fd2"), member(2, "fd9", region="north")
-        chosen = addresses(far, near, member(3, "fd1")).choose("fd1")
+        first_nodes = {
+            addresses_api(*nodes, seed=seed).choose("fd1")[0].node for seed in range(50)
+        }
+        assert len(first_nodes) == 4
+
+    def test_own_region_comes_before_other_regions(self):
+        same_region, other_region = member(1, "fd2"), member(2, "fd9", region="north")
+        chosen = addresses_api(other_region, same_region, member(3, "fd1")).choose(
+            "fd1"
+        )
         assert [m.node for m in chosen] == ["n3", "n1", "n2"]
 
 
 class TestAuthenticator:
     def test_keys_follow_the_document(self):
-        """An operator replaces an organisation's key: the new one is taken and the
-        old one refused as soon as the document is in force.
+        """When an operator replaces an organisation's key, the new one is accepted and
+        the old one refused as soon as the document is in force.
         """
         configuration = Configuration()
         authenticator = Authenticator(configuration=configuration)
@@ -234,9 +238,9 @@
     @pytest.mark.parametrize(
         "header", ["", "Bearer", "Bearer ", "Basic abc", "Bearer " + "x" * 9000]
     )
-    def test_bad_header_never_shows_the_key(self, header):
+    def test_error_of_bad_header_hides_the_key(self, header):
         authenticator = Authenticator(configuration=Configuration())
         req = Request(method="GET", path="/", headers={"authorization": header})
-        problem = authenticator.authenticate(req).err_value
-        assert problem.reason == "bad_scheme"
-        assert "xxx" not in str(problem)
+        error = authenticator.authenticate(req).err_value
+        assert error.reason == "bad_scheme"
+        assert "xxx" not in str(error)
--- a/tests/test_tickets.py
+++ b/tests/test_tickets.py
@@ -1,4 +1,4 @@
-"""Tickets: signed, rotated, expiring, and safe to read from anybody."""
+"""Signing, key rotation and expiry of tickets, and the parsing of untrusted ones."""
 
 from __future__ import annotations
 
@@ -30,32 +30,32 @@
 
 
 class TestTickets:
-    def test_read_gives_what_was_issued(self):
+    def test_read_returns_the_issued_ticket(self):
         assert signer().read(signer().issue(TICKET)).ok_value == TICKET
 
     def test_keys_are_rotated_without_breaking_streams(self):
-        """Operators replace the signing key while drafts run. Tickets of the old key
-        are taken for as long as it is listed.
+        """Operators replace the signing key while streams are open. Tickets signed with
+        the old key are accepted as long as it is listed.
         """
         old = signer(current="old", old=b"o" * 32)
         both = signer(new=b"n" * 32, old=b"o" * 32)
         assert both.read(old.issue(TICKET)).is_ok()
         assert old.read(both.issue(TICKET)).err_value.reason == "forged"
 
-    def test_expired(self):
+    def test_expired_ticket_is_refused(self):
         clock = ManualClock()
         text = signer().issue(TICKET)
         clock.advance(100.0)
-        problem = signer(clock=clock).read(text).err_value
-        assert problem.reason == "expired"
-        assert problem.ticket == TICKET
+        error = signer(clock=clock).read(text).err_value
+        assert error.reason == "expired"
+        assert error.ticket == TICKET
 
     @pytest.mark.parametrize("field", ["organisation", "address", "generation_id"])
     def test_each_field_is_signed(self, field):
-        """Someone swaps a field of a ticket under the old signature."""
-        real = signer().issue(TICKET)
-        other = signer().issue(replace(TICKET, **{field: "127.0.0.2:7300"}))
-        assert isinstance(signer().read(real[:21] + other[21:]), Err)
+        """A changed field under the signature of the original ticket is detected."""
+        original = signer().issue(TICKET)
+        changed = signer().issue(replace(TICKET, **{field: "127.0.0.2:7300"}))
+        assert isinstance(signer().read(original[:21] + changed[21:]), Err)
 
     @settings(derandomize=True, max_examples=300)
     @given(text=st.one_of(st.text(max_size=300), st.binary().map(bytes.hex)))
