--- a/celerytrail/callers/api.py
+++ b/celerytrail/callers/api.py
@@ -43,7 +43,7 @@
     queue_seconds : float
         Longest wait of a request for an engine.
     generation_seconds : float
-        Longest time of a whole request, from arrival to its last token.
+        Longest total time of a request.
     ticket_seconds : float
         Time for which a ticket is valid.
     resume_grace_seconds : float
--- a/celerytrail/callers/shapes.py
+++ b/celerytrail/callers/shapes.py
@@ -27,7 +27,7 @@
     model : str
         Name of the model as the caller wrote it.
     created : int
-        Wall time of the start, in whole seconds.
+        Wall time when the answer began, in whole seconds.
     """
 
     answer_id: str
@@ -41,7 +41,7 @@
     Attributes
     ----------
     name : str
-        Name of the format in request bodies and tickets.
+        Name of the format, as in ``GenerationBody.shape`` and ``Ticket.shape``.
     answer_prefix : str
         Prefix of the answers' ids.
     chunk_object, response_object : str
