--- a/celerytrail/engines/__init__.py
+++ b/celerytrail/engines/__init__.py
@@ -1,1 +1,1 @@
-"""Talk to model engines: streams, load reports, cache events, orders."""
+"""Client side of the engine protocol: streams, load reports, cache events, orders."""
--- a/celerytrail/engines/client.py
+++ b/celerytrail/engines/client.py
@@ -1,4 +1,4 @@
-"""Exchanges with model engines, with typed outcomes."""
+"""Client of the model engines' protocol, with typed errors."""
 
 from __future__ import annotations
 
@@ -22,8 +22,8 @@
     EngineRefused,
     GenerateOrder,
     NewerReader,
-    OldFencing,
     OrderExpired,
+    StaleFencing,
     UnknownGeneration,
 )
 
@@ -43,14 +43,14 @@
 
 
 class EngineClient:
-    """Speaks the engines' protocol; knows no engine and keeps no state of one.
+    """Sends requests to engines; holds no state about any of them.
 
     Parameters
     ----------
     http : HttpClient
-        The pooled client.
+        The HTTP client with its connection pool.
     clock : Clock
-        Turns deadlines into wall times for the engine.
+        Converts deadlines to wall times for the engine.
     """
 
     def __init__(self, *, http: HttpClient, clock: Clock) -> None:
@@ -75,22 +75,22 @@
         order : GenerateOrder
             What to generate.
         deadline : float
-            Monotonic time until which the engine must have answered its head.
+            Monotonic time by which the response head must have arrived.
         request_deadline : float or None
-            Monotonic time at which the caller gives up, which the engine is told.
+            Monotonic time of the caller's deadline, which is sent to the engine.
         headers : Mapping or None
-            More headers, such as the task of the log.
+            Additional headers, such as the log task.
         """
-        whole = {"content-type": "application/json", **(headers or {})}
+        all_headers = {"content-type": "application/json", **(headers or {})}
         if request_deadline is not None:
-            at = self._clock.wall_of_deadline(request_deadline)
-            whole[DEADLINE_HEADER] = f"{at:.3f}"
+            deadline_at = self._clock.wall_of_deadline(request_deadline)
+            all_headers[DEADLINE_HEADER] = f"{deadline_at:.3f}"
         opened = await self._http.open(
             address,
             "POST",
             "/generate",
             body=msgspec.json.encode(order),
-            headers=whole,
+            headers=all_headers,
             deadline=deadline,
         )
         if isinstance(opened, Err):
@@ -113,8 +113,8 @@
     ) -> Result[TokenReader, OpenError]:
         """Open a generation's stream from an offset, on a new connection.
 
-        A pooled connection may lead into the very link that stalled; a new one
-        shows whether the engine can be reached at all.
+        A pooled connection may use the same network path that stalled; a new one
+        shows whether the engine is reachable.
         """
         opened = await self._http.open(
             address,
@@ -135,21 +135,21 @@
         generation_id: str,
         *,
         deadline: float,
-        reader: int | None = None,
+        reader_number: int | None = None,
     ) -> Result[None, OpenError | NewerReader]:
-        """End a generation.
+        """Cancel a generation.
 
         Parameters
         ----------
         address, generation_id, deadline
-            Which one, and until when to try.
-        reader : int or None
-            Where given, the engine does it only while no later reading has begun, so
-            that a paused node can't cancel what its caller reads through another.
+            The generation, and the deadline of the request.
+        reader_number : int or None
+            If given, the engine cancels only while no later reader has been opened,
+            so that a paused node can't cancel what its caller reads through another.
         """
         path = f"/generations/{quote(generation_id, safe='')}"
-        if reader is not None:
-            path = f"{path}?reader={reader}"
+        if reader_number is not None:
+            path = f"{path}?reader={reader_number}"
         answer = await self._http.request(address, "DELETE", path, deadline=deadline)
         if isinstance(answer, Err):
             exc = answer.err_value
@@ -166,7 +166,7 @@
     async def load(
         self, address: Address, *, deadline: float
     ) -> Result[EngineReport, EngineLost | BadReply]:
-        """Ask for the load report."""
+        """Fetch the load report."""
         answer = await self._get(address, "/load", deadline)
         if isinstance(answer, Err):
             return answer
@@ -178,7 +178,7 @@
     async def cache_events(
         self, address: Address, after: int, *, deadline: float
     ) -> Result[CacheEvents, EngineLost | BadReply]:
-        """Ask for the cache events after a number."""
+        """Fetch the cache events after a sequence number."""
         answer = await self._get(address, f"/cache-events?after={after}", deadline)
         if isinstance(answer, Err):
             return answer
@@ -189,8 +189,8 @@
 
     async def order(
         self, address: Address, order: EngineOrder, *, deadline: float
-    ) -> Result[None, OldFencing | OrderExpired | EngineLost | BadReply]:
-        """Give an order; ``EngineLost`` leaves open whether it was carried out."""
+    ) -> Result[None, StaleFencing | OrderExpired | EngineLost | BadReply]:
+        """Send an order; after ``EngineLost`` it may or may not be carried out."""
         answer = await self._http.request_json(
             address, "POST", "/orders", order, deadline=deadline
         )
@@ -201,7 +201,9 @@
         if status == 200:
             return Ok(None)
         if status == 409:
-            return Err(OldFencing(fencing=_refusal(answer.ok_value.body).fencing))
+            return Err(
+                StaleFencing(fencing=_decode_refusal(answer.ok_value.body).fencing)
+            )
         if status == 410:
             return Err(OrderExpired())
         return Err(BadReply(reason="status", detail=f"{status} to an order"))
@@ -223,17 +225,17 @@
     ) -> Result[TokenReader, OpenError]:
         if stream.status != 200:
             return await self._read_refusal(stream, deadline)
-        named = stream.headers.get(GENERATION_HEADER)
-        if named != generation_id:
-            # Tokens of another generation would be spliced into this answer.
+        header_id = stream.headers.get(GENERATION_HEADER)
+        if header_id != generation_id:
+            # Tokens of another generation would be mixed into this answer.
             stream.close()
-            return Err(BadReply(reason="other_generation", detail=str(named)[:80]))
+            return Err(BadReply(reason="other_generation", detail=str(header_id)[:80]))
         number = stream.headers.get(READER_HEADER, "")
         return Ok(
             TokenReader(
                 stream=stream,
                 incarnation=stream.headers.get(INCARNATION_HEADER, ""),
-                reader=int(number) if number.isdecimal() else None,
+                number=int(number) if number.isdecimal() else None,
             )
         )
 
@@ -246,7 +248,7 @@
             return Err(EngineLost(reason=lost.reason, detail=lost.detail))
         if stream.status == 404:
             return Err(UnknownGeneration())
-        refusal = _refusal(body.ok_value)
+        refusal = _decode_refusal(body.ok_value)
         if refusal.not_run:
             return Err(
                 EngineRefused(reason=refusal.reason, retry_after=refusal.retry_after)
@@ -254,7 +256,7 @@
         return Err(BadReply(reason="status", detail=f"status {stream.status}"))
 
 
-def _refusal(body: bytes) -> _Refusal:
+def _decode_refusal(body: bytes) -> _Refusal:
     try:
         return msgspec.json.decode(body, type=_Refusal)
     except msgspec.MsgspecError:
--- a/celerytrail/engines/prefixes.py
+++ b/celerytrail/engines/prefixes.py
@@ -1,7 +1,7 @@
-"""Hashes of a prompt's leading blocks, by which a warm cache is found.
+"""Hashes of a prompt's leading blocks, for prefix cache affinity.
 
-Engines that serve us name what their cache holds by the same hashes, so both sides
-must cut the prompt alike.
+Engines report the content of their prefix caches by the same hashes, so both sides
+must divide the prompt into the same blocks.
 """
 
 from __future__ import annotations
@@ -15,18 +15,18 @@
 
 
 def prefix_hashes(prompt: str) -> tuple[str, ...]:
-    """Return a hash for each leading run of whole blocks, shortest run first."""
+    """Return a hash for each prefix of whole blocks, shortest prefix first."""
     digest = hashlib.blake2b(digest_size=DIGEST_BYTES)
-    found = []
+    hashes = []
     n_blocks = min(len(prompt) // BLOCK_CHARACTERS, MAX_BLOCKS)
-    for number in range(n_blocks):
-        start = number * BLOCK_CHARACTERS
+    for block_index in range(n_blocks):
+        start = block_index * BLOCK_CHARACTERS
         block = prompt[start : start + BLOCK_CHARACTERS]
         digest.update(block.encode("utf-8", "replace"))
-        found.append(digest.copy().hexdigest())
-    return tuple(found)
+        hashes.append(digest.copy().hexdigest())
+    return tuple(hashes)
 
 
 def estimate_tokens(prompt: str) -> int:
-    """Return about how many tokens a prompt has; only its engine can count them."""
+    """Estimate the tokens of a prompt; only its engine can count them."""
     return max(1, len(prompt) // CHARACTERS_PER_TOKEN)
--- a/celerytrail/engines/reader.py
+++ b/celerytrail/engines/reader.py
@@ -6,44 +6,44 @@
 from result import Err, Ok, Result
 
 from ..http.client import Stream
-from .wire import MAX_LINE_BYTES, BadReply, EngineEnd, EngineLost, Finished, Line
+from .wire import MAX_LINE_BYTES, BadReply, EngineEnd, EngineLost, Finished, StreamLine
 
 _ENDS: dict[str, EngineEnd] = {
     "stop": "stop",
     "length": "length",
     "cancelled": "cancelled",
 }
-_decode_line = msgspec.json.Decoder(Line).decode
+_decode_line = msgspec.json.Decoder(StreamLine).decode
 
 
 class TokenReader:
-    """One reading of a generation, from one offset on.
+    """Reads a generation's lines over one connection, starting at an offset.
 
     Parameters
     ----------
     stream : Stream
-        The engine's answer.
+        The engine's response.
     incarnation : str
         The engine process that sends it.
-    reader : int or None
-        The number the engine gave this reading, where it does.
+    number : int or None
+        The number that the engine gave to this reader; None if it gave none.
     """
 
-    def __init__(self, *, stream: Stream, incarnation: str, reader: int | None) -> None:
+    def __init__(self, *, stream: Stream, incarnation: str, number: int | None) -> None:
         self.incarnation = incarnation
-        self.reader = reader
+        self.number = number
         self._stream = stream
-        self._rest = b""
+        self._partial_line = b""
 
     async def next_lines(
         self, deadline: float | None
-    ) -> Result[list[Line | Finished], EngineLost | BadReply]:
+    ) -> Result[list[StreamLine | Finished], EngineLost | BadReply]:
         """Return all lines that are ready, at least one.
 
         Parameters
         ----------
         deadline : float or None
-            Monotonic time until which to wait.
+            Monotonic time at which to stop waiting.
         """
         while True:
             chunk = await self._stream.next_chunk(deadline)
@@ -52,41 +52,46 @@
                 return Err(EngineLost(reason=lost.reason, detail=lost.detail))
             data = chunk.ok_value
             if data is None:
-                # A proper HTTP end without the engine's own end is a broken engine.
+                # The response ended properly, but without the generation's end line.
                 return Err(BadReply(reason="no_end"))
-            pieces = (
-                (self._rest + data).split(b"\n") if self._rest else data.split(b"\n")
+            raw_lines = (
+                (self._partial_line + data).split(b"\n")
+                if self._partial_line
+                else data.split(b"\n")
             )
-            self._rest = pieces.pop()
-            if len(self._rest) > MAX_LINE_BYTES:
+            self._partial_line = raw_lines.pop()
+            if len(self._partial_line) > MAX_LINE_BYTES:
                 self.close()
                 return Err(BadReply(reason="line_too_long"))
-            if pieces:
-                return self._decode(pieces)
+            if raw_lines:
+                return self._decode(raw_lines)
 
     def close(self) -> None:
-        """Stop reading; the generation goes on at the engine."""
+        """Stop reading; the generation continues at the engine."""
         self._stream.close()
 
     async def finish(self, deadline: float | None) -> None:
-        """Read the proper HTTP end, after which the connection can be reused."""
+        """Read the end of the response, so that the connection can be reused."""
         tail = await self._stream.next_chunk(deadline)
         if tail != Ok(None):
             self._stream.close()
 
-    def _decode(self, pieces: list[bytes]) -> Result[list[Line | Finished], BadReply]:
-        lines: list[Line | Finished] = []
-        for piece in pieces:
+    def _decode(
+        self, raw_lines: list[bytes]
+    ) -> Result[list[StreamLine | Finished], BadReply]:
+        lines: list[StreamLine | Finished] = []
+        for raw_line in raw_lines:
             try:
-                line = _decode_line(piece)
-                problem = _problem(line)
+                line = _decode_line(raw_line)
+                problem = _find_problem(line)
             except (msgspec.MsgspecError, UnicodeError) as exc:
                 problem = str(exc)
             if problem is not None:
                 self.close()
                 if lines:
-                    # What came before the bad line is good; it is handed on, and the
-                    # closed stream makes the reader read again from here.
+                    # The lines before the bad one are valid and are returned. As the
+                    # stream is closed, the next read fails and the caller reopens it
+                    # at the bad line.
                     return Ok(lines)
                 return Err(BadReply(reason="bad_line", detail=problem))
             if line.end is None:
@@ -103,16 +108,16 @@
         return Ok(lines)
 
 
-def _problem(line: Line) -> str | None:
+def _find_problem(line: StreamLine) -> str | None:
     if line.end is not None:
         if line.end not in _ENDS:
             return f"end is {line.end[:20]!r}"
-        return None if line.n_tokens >= 0 else "an end without n_tokens"
+        return None if line.n_tokens >= 0 else "the end has no n_tokens"
     if line.offset < 0:
-        return "a token without an offset"
+        return "the token has no offset"
     token = bytes(line.token)
     if token[:1] != b'"':
-        return "a token that is no string"
+        return "the token is not a string"
     if not token.isascii():
         token.decode("utf-8")
     return None
--- a/celerytrail/engines/streams.py
+++ b/celerytrail/engines/streams.py
@@ -1,8 +1,8 @@
-"""A generation's tokens, each exactly once and in order, whatever its engine does.
+"""Reads a generation's tokens from its engine, each exactly once and in order.
 
-A stream is named by engine, engine incarnation and generation id; its tokens by their
-offsets. What comes again is dropped, what is missing is read again, and what another
-incarnation says is never taken.
+A stream is identified by engine, engine incarnation and generation id, and its tokens
+by their offsets. Repeated tokens are dropped, missing tokens are requested again, and
+tokens of another incarnation are never accepted.
 """
 
 from __future__ import annotations
@@ -24,41 +24,41 @@
     BadReply,
     EngineLost,
     Finished,
-    Line,
     NewerReader,
+    StreamLine,
     Tokens,
     UnknownGeneration,
 )
 
 CANCEL_SECONDS = 2.0
-# How much earlier than ours an engine's clock may see a deadline pass.
+# An engine whose clock runs ahead of ours may see a deadline pass this much earlier.
 DEADLINE_MARGIN_SECONDS = 0.25
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class StreamPolicy:
-    """How long a stream waits for what, in seconds, and how often it tries again.
+    """Holds the timeouts of a stream, in seconds, and its limits on retries.
 
     Parameters
     ----------
     first_token_seconds : float
-        Silence before the first token after which the stream is read again.
+        Time without a first token after which the stream is opened again.
     stall_seconds : float
-        Silence between tokens after which it is read again; doubles while the engine
-        answers and the silence lasts, as an engine out of memory is silent too.
+        Time without a further token after which the stream is opened again; doubles
+        with each stall in a row, as an engine that has run out of memory pauses too.
     max_stall_seconds : float
-        Where that doubling ends.
+        Upper bound of ``stall_seconds`` after doubling.
     counted_stall_seconds : float
-        Silence between tokens beyond which it counts as a stall in the metrics.
+        Time between tokens above which the metrics count a stall.
     head_seconds : float
-        How long an engine may take to answer the head of a stream.
+        Timeout for the response head of a stream.
     recover_seconds : float
-        How long an engine that can't be reached is tried again.
+        How long an unreachable engine is retried.
     n_max_breaks, n_max_first_breaks : int
-        Breaks without a token between after which the engine counts as broken; and
-        the same before the first token, when another engine can still be asked.
+        Consecutive breaks without a token after which the engine counts as broken;
+        the second holds before the first token, when another engine can still be used.
     backoff_seconds, max_backoff_seconds : float
-        Wait before an engine is tried again; doubles each time up to the latter.
+        Wait before an engine is retried; doubles each time up to the second.
     """
 
     first_token_seconds: float = 10.0
@@ -75,7 +75,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class StreamLost:
-    """No more tokens come by this stream.
+    """Reports that a stream failed before the end of its generation.
 
     Parameters
     ----------
@@ -83,9 +83,9 @@
         ``engine_unreachable``, ``engine_restarted``, ``generation_unknown``,
         ``engine_broken``, ``offset_beyond_end``, ``deadline`` or ``abandoned``.
     n_tokens : int
-        Tokens handed over before it.
+        Tokens returned before the failure.
     can_resume : bool
-        Whether asking again later may bring the rest of the same generation.
+        Whether the rest of the same generation may be readable later.
     """
 
     reason: str
@@ -95,32 +95,32 @@
 
 
 class EngineStream:
-    """One generation at one engine, read from an offset on.
+    """Reads one generation at one engine, starting at an offset.
 
     Parameters
     ----------
     client : EngineClient
-        Speaks to the engine.
+        Sends the requests to the engine.
     clock : Clock
-        Of the deadlines.
+        Measures the deadlines.
     rng : random.Random
-        Spreads the times at which an engine is tried again.
+        Adds jitter to the backoff.
     policy : StreamPolicy
-        The waits.
+        Timeouts and limits on retries.
     counters : StreamCounters
-        Where tokens, gaps and stalls are counted.
+        Counts tokens, gaps and stalls.
     address : Address
         The engine.
     generation_id, incarnation : str
-        The generation, and the engine process it lives in.
+        The generation, and the engine process that runs it.
     offset : int
-        The first offset wanted.
+        The offset of the first token to return.
     reader : TokenReader or None
-        An open reading from that offset; None opens one at the first need.
+        An open reader at that offset; None opens one on the first `next`.
     deadline : float or None
-        Monotonic time at which the caller gives up.
+        Monotonic time of the caller's deadline.
     headers : Mapping or None
-        Sent with each reading, such as the task of the log.
+        Sent with each read request, such as the log task.
     """
 
     def __init__(
@@ -143,7 +143,7 @@
         self.generation_id = generation_id
         self.incarnation = incarnation
         self.offset = offset
-        self.last_reader: int | None = reader.reader if reader else None
+        self.last_reader_number: int | None = reader.number if reader else None
         self._client = client
         self._clock = clock
         self._rng = rng
@@ -157,10 +157,10 @@
         self._is_beyond_end = False
         self._n_breaks = 0
         self._stall_seconds = policy.first_token_seconds
-        self._last_at: float | None = None
+        self._last_token_at: float | None = None
 
     async def next(self) -> Result[Tokens | Finished, StreamLost]:
-        """Return the next tokens that are ready together, or the end."""
+        """Return all tokens that are ready, at least one, or the end."""
         while self._finished is None:
             if self._reader is None:
                 lost = await self._reopen()
@@ -168,13 +168,13 @@
                     return Err(lost)
             reader = self._reader
             assert reader is not None
-            got = await reader.next_lines(self._wait_until())
-            if isinstance(got, Err):
-                lost = self._note_break(got.err_value)
+            received = await reader.next_lines(self._read_deadline())
+            if isinstance(received, Err):
+                lost = self._on_break(received.err_value)
                 if lost is not None:
                     return Err(lost)
                 continue
-            tokens = self._take(got.ok_value)
+            tokens = self._accept_lines(received.ok_value)
             if self._is_beyond_end:
                 self._drop_reader()
                 return Err(self._lost("offset_beyond_end", can_resume=False))
@@ -185,11 +185,11 @@
         return Ok(self._finished)
 
     def _is_ended_by_deadline(self) -> bool:
-        """Tell whether the engine gave up at the deadline that it was sent.
+        """Return whether the engine cancelled the generation at its deadline.
 
-        Both sides watch it, and by clocks that differ a little the engine may be first.
-        Its end then says only "cancelled", and the caller would be told that somebody
-        had cancelled the draft.
+        Both sides enforce the deadline, and with a small clock difference the engine
+        may do so first. Its end says only "cancelled", and without this check the
+        caller would get that as the cancellation of its draft by somebody.
         """
         if self._finished is None or self._finished.end != "cancelled":
             return False
@@ -198,12 +198,12 @@
         return self._clock.monotonic() >= self._deadline - DEADLINE_MARGIN_SECONDS
 
     def abandon(self) -> None:
-        """Stop reading, as the caller has gone; a waiting `next` returns soon."""
+        """Stop reading for a disconnected caller; a waiting `next` returns soon."""
         self._is_abandoned = True
         self._drop_reader()
 
     async def release(self) -> None:
-        """Give the connection back to the pool where the stream ended properly."""
+        """Return the connection to the pool if the stream ended properly."""
         if self._reader is None:
             return
         if self._finished is None or self._is_abandoned:
@@ -215,50 +215,52 @@
     async def cancel(
         self, *, only_if_last_reader: bool = False
     ) -> Result[None, OpenError | NewerReader]:
-        """End the generation at the engine.
+        """Cancel the generation at the engine.
 
         Parameters
         ----------
         only_if_last_reader : bool
-            Leaves it running where another node reads it by now, and where the
-            engine does not number its readings.
+            Leave the generation running if another node has started to read it, or
+            if the engine does not number its readers.
         """
         self._drop_reader()
-        reader = self.last_reader if only_if_last_reader else None
-        if only_if_last_reader and reader is None:
+        reader_number = self.last_reader_number if only_if_last_reader else None
+        if only_if_last_reader and reader_number is None:
             return Err(NewerReader())
-        done = await self._client.cancel(
+        cancelled = await self._client.cancel(
             self.address,
             self.generation_id,
             deadline=self._clock.monotonic() + CANCEL_SECONDS,
-            reader=reader,
+            reader_number=reader_number,
         )
         log_message(
             "engines:cancelled",
             generation_id=self.generation_id,
-            outcome="ok" if isinstance(done, Ok) else type(done.err_value).__name__,
+            outcome="ok"
+            if isinstance(cancelled, Ok)
+            else type(cancelled.err_value).__name__,
         )
-        return done
+        return cancelled
 
-    def _wait_until(self) -> float:
-        until = self._clock.monotonic() + self._stall_seconds
-        return until if self._deadline is None else min(until, self._deadline)
+    def _read_deadline(self) -> float:
+        stalls_at = self._clock.monotonic() + self._stall_seconds
+        return stalls_at if self._deadline is None else min(stalls_at, self._deadline)
 
-    def _take(self, lines: list[Line | Finished]) -> list[bytes]:
-        """Keep the tokens that come next; drop repeats, stop at a gap."""
+    def _accept_lines(self, lines: list[StreamLine | Finished]) -> list[bytes]:
+        """Return the tokens that continue the stream; drop repeats, stop at a gap."""
         tokens: list[bytes] = []
         expected = self.offset
         for line in lines:
-            if isinstance(line, Line):
+            if isinstance(line, StreamLine):
                 if line.offset == expected:
                     tokens.append(bytes(line.token))
                     expected += 1
                 elif line.offset < expected:
-                    # Engines may send again after a resume. Handed on, the caller's
-                    # text would hold some words twice.
+                    # Engines may resend tokens after a resume. Passed on, they would
+                    # repeat words in the caller's text.
                     self._counters.n_repeats += 1
                 else:
-                    self._note_gap(expected, line.offset)
+                    self._on_gap(expected, line.offset)
                     break
             elif line.n_tokens == expected:
                 self._finished = line
@@ -266,17 +268,17 @@
                 self._is_beyond_end = True
                 break
             else:
-                self._note_gap(expected, line.n_tokens)
+                self._on_gap(expected, line.n_tokens)
                 break
         if tokens:
             self.offset = expected
-            self._note_tokens(len(tokens))
+            self._record_tokens(len(tokens))
         return tokens
 
-    def _note_gap(self, expected: int, found: int) -> None:
-        """Read again from the first missing offset, on a new connection.
+    def _on_gap(self, expected: int, found: int) -> None:
+        """Drop the reader, so that the first missing offset is read again.
 
-        Without this the caller would get a text with a hole that nothing shows.
+        Without this the caller would get a text with missing words and no error.
         """
         self._counters.resumes["gap"] += 1
         self._n_breaks += 1
@@ -288,24 +290,24 @@
         )
         self._drop_reader()
 
-    def _note_tokens(self, n_tokens: int) -> None:
+    def _record_tokens(self, n_tokens: int) -> None:
         now = self._clock.monotonic()
         policy = self._policy
-        if self._last_at is None:
+        if self._last_token_at is None:
             self._counters.n_tokens += n_tokens
         else:
-            gap = now - self._last_at
-            self._counters.note_tokens(n_tokens, gap)
-            if gap > policy.counted_stall_seconds:
+            interval = now - self._last_token_at
+            self._counters.record_tokens(n_tokens, interval)
+            if interval > policy.counted_stall_seconds:
                 self._counters.n_stalls += 1
-                self._counters.stall_seconds += gap - policy.counted_stall_seconds
-        self._last_at = now
+                self._counters.stall_seconds += interval - policy.counted_stall_seconds
+        self._last_token_at = now
         self._stall_seconds = policy.stall_seconds
         if self._reader is not None:
             self._n_breaks = 0
 
-    def _note_break(self, problem: EngineLost | BadReply) -> StreamLost | None:
-        """Decide what a broken reading means; None where it is to be read again."""
+    def _on_break(self, problem: EngineLost | BadReply) -> StreamLost | None:
+        """Handle a broken reader; return None if the stream should be reopened."""
         self._drop_reader()
         if self._is_abandoned:
             return self._lost("abandoned", can_resume=True)
@@ -313,8 +315,8 @@
         if self._deadline is not None and now >= self._deadline:
             return self._lost("deadline", can_resume=False)
         if problem.reason == "stalled":
-            doubled = self._stall_seconds * 2
-            self._stall_seconds = min(doubled, self._policy.max_stall_seconds)
+            doubled_seconds = self._stall_seconds * 2
+            self._stall_seconds = min(doubled_seconds, self._policy.max_stall_seconds)
         else:
             self._n_breaks += 1
         if isinstance(problem, BadReply):
@@ -330,11 +332,11 @@
         return None
 
     async def _reopen(self) -> StreamLost | None:
-        """Read again from the next offset, trying for a while."""
+        """Open a reader at the next offset, with retries and backoff."""
         policy = self._policy
         give_up_at = self._clock.monotonic()
         if self.offset > 0:
-            # Before its first token a generation is better begun elsewhere.
+            # Before its first token a generation is better restarted at another engine.
             give_up_at += policy.recover_seconds
         backoff = policy.backoff_seconds
         n_max_breaks = policy.n_max_breaks
@@ -361,16 +363,16 @@
                 headers=self._headers,
             )
             if isinstance(opened, Ok):
-                return self._accept(opened.ok_value)
+                return self._accept_reader(opened.ok_value)
             if isinstance(opened.err_value, UnknownGeneration):
                 return self._lost("generation_unknown", can_resume=False)
-            self._note_failed_open(opened.err_value)
+            self._record_failed_open(opened.err_value)
             if self._clock.monotonic() >= give_up_at:
                 return self._lost("engine_unreachable", can_resume=True)
             await self._back_off(backoff)
             backoff = min(backoff * 2, policy.max_backoff_seconds)
 
-    def _note_failed_open(self, problem: OpenError) -> None:
+    def _record_failed_open(self, problem: OpenError) -> None:
         if isinstance(problem, BadReply):
             self._counters.bad_replies[problem.reason] += 1
         log_message(
@@ -379,17 +381,17 @@
             reason=problem.reason,
         )
 
-    def _accept(self, reader: TokenReader) -> StreamLost | None:
+    def _accept_reader(self, reader: TokenReader) -> StreamLost | None:
         if self._is_abandoned:
             reader.close()
             return self._lost("abandoned", can_resume=True)
         if reader.incarnation != self.incarnation:
-            # A restarted engine may give the id to another generation; its tokens
-            # would be spliced onto those of the first.
+            # A restarted engine may use the id for another generation, whose tokens
+            # would be appended to those of the first.
             reader.close()
             return self._lost("engine_restarted", can_resume=False)
         self._reader = reader
-        self.last_reader = reader.reader
+        self.last_reader_number = reader.number
         log_message(
             "engines:stream_opened",
             generation_id=self.generation_id,
--- a/celerytrail/engines/wire.py
+++ b/celerytrail/engines/wire.py
@@ -1,4 +1,4 @@
-"""What engines send, checked and typed: lines of a token stream, and replies."""
+"""Types of the engines' protocol: stream lines, replies, orders and errors."""
 
 from __future__ import annotations
 
@@ -13,22 +13,22 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class GenerateOrder:
-    """What an engine is asked to generate.
+    """Holds the request for a generation, as it is sent to an engine.
 
     Parameters
     ----------
     generation_id : str
-        Names the generation; asking again with it starts no second one.
+        Identifies the generation; repeating it does not start a second one.
     model, adapter, prompt : str
-        What answers, and to what.
+        The model, its adapter (empty for none) and the prompt.
     n_max_tokens : int
-        The most tokens wanted.
+        Limit on the tokens to generate.
     priority : int
         0 (lowest) to 9.
     organisation : str
-        Whose it is.
+        The organisation of the caller.
     sampling : dict
-        Sampling options of the caller, handed on as they are.
+        Sampling options of the caller, passed on unchanged.
     """
 
     generation_id: str
@@ -43,7 +43,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class EngineRefused:
-    """The engine took nothing; asking elsewhere does no harm."""
+    """Reports that the engine started nothing; another engine can be tried safely."""
 
     reason: str
     detail: str = ""
@@ -52,7 +52,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class EngineLost:
-    """The engine can't be reached, or its answer broke off; it may have begun."""
+    """Reports an unreachable engine or a cut answer; the request may have started."""
 
     reason: str
     detail: str = ""
@@ -60,28 +60,29 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class UnknownGeneration:
-    """The engine answers, but has no such generation: restarted, or expired."""
+    """Reports that the engine has no such generation: it restarted, or it expired."""
 
     reason: str = "unknown_generation"
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class NewerReader:
-    """The generation was not cancelled, as someone else has begun to read it."""
+    """Reports that a cancel was refused, as a later reader has been opened."""
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class BadReply:
-    """The engine broke its protocol; the connection was closed."""
+    """Reports that the engine broke its protocol; its connection is closed."""
 
     reason: str
     detail: str = ""
 
 
-class Line(msgspec.Struct, kw_only=True):
-    """One line of a token stream; a Struct, as it is decoded for each token.
+class StreamLine(msgspec.Struct, kw_only=True):
+    """Holds one decoded line of a token stream: a token, or the end.
 
-    ``token`` stays JSON, so that a relay can write it on without decoding it.
+    It is a Struct for speed, as one is decoded for each token. ``token`` stays JSON, so
+    that a relay can forward it without decoding it.
     """
 
     offset: int = -1
@@ -92,14 +93,16 @@
 
 
 class Tokens(msgspec.Struct, kw_only=True, frozen=True):
-    """Tokens that are ready together; a Struct, as making one is ten times cheaper.
+    """Holds consecutive tokens that became ready together.
+
+    It is a Struct, as creating one is ten times cheaper than a dataclass.
 
     Parameters
     ----------
     offset : int
-        The offset of the first one.
+        The offset of the first token.
     tokens : list of bytes
-        Each one's text as a JSON string, quotes included.
+        The text of each token as a JSON string, quotes included.
     """
 
     offset: int
@@ -108,16 +111,16 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Finished:
-    """The engine's own end of a generation.
+    """Holds the end of a generation as the engine reported it.
 
     Parameters
     ----------
     end : {"stop", "length", "cancelled"}
         Why it ended.
     n_tokens : int
-        Tokens it has in all.
+        Tokens of the whole generation.
     n_prompt_tokens : int or None
-        Tokens of the prompt, where the engine says.
+        Tokens of the prompt, if the engine reports them.
     """
 
     end: EngineEnd
@@ -127,7 +130,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class CacheEvent:
-    """A prompt prefix came into an engine's cache or left it."""
+    """Records that a prompt prefix was stored in an engine's cache or evicted."""
 
     sequence: int
     at: float
@@ -137,7 +140,10 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class CacheEvents:
-    """Some cache events, and where to go on; numbers missing between are gaps."""
+    """Holds cache events and the number to continue after.
+
+    A jump in the sequence numbers means that the engine omitted events.
+    """
 
     events: tuple[CacheEvent, ...] = ()
     next: int = 0
@@ -145,16 +151,16 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class EngineOrder:
-    """An order to an engine; its names are those of the engine's protocol.
+    """Holds an order to an engine; field names are those of the engine's protocol.
 
     Parameters
     ----------
     order_id : str
-        Unique; an engine carries an order out once.
+        Unique id; an engine carries out each order once.
     kind : str
         ``load_model``, ``load_adapter``, ``unload_adapter`` or ``set_role``.
     fencing : int
-        The number of the lease under which it is given.
+        The fencing token of the lease under which it is sent.
     expires_at : float
         Wall time after which the engine must refuse it.
     """
@@ -170,12 +176,12 @@
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
-class OldFencing:
-    """The engine refused an order, as it has seen a higher fencing number."""
+class StaleFencing:
+    """Reports that an order was refused, as the engine has seen a higher token."""
 
     fencing: int
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class OrderExpired:
-    """The engine refused an order, as it came after its expiry."""
+    """Reports that an order was refused, as it arrived after its expiry."""
--- a/tests/test_streams.py
+++ b/tests/test_streams.py
@@ -19,8 +19,8 @@
     Finished,
     GenerateOrder,
     NewerReader,
-    OldFencing,
     OrderExpired,
+    StaleFencing,
     UnknownGeneration,
 )
 from celerytrail.http.client import HttpClient
@@ -279,7 +279,7 @@
         assert (await give(address, order("o1", 5), deadline=soon())).is_ok()
         assert (await give(address, order("o1", 5), deadline=soon())).is_ok()
         old = await give(address, order("o2", 4), deadline=soon())
-        assert old.err_value == OldFencing(fencing=5)
+        assert old.err_value == StaleFencing(fencing=5)
         late = await give(address, order("o3", 6, -1.0), deadline=soon())
         assert late.err_value == OrderExpired()
         assert rig.engine.batch.adapters == ["legal"]
