--- a/tests/test_streams_processes.py
+++ b/tests/test_streams_processes.py
@@ -1,4 +1,4 @@
-"""Token streams over real processes and real signals."""
+"""Token streams through node processes that are killed or paused."""
 
 from __future__ import annotations
 
@@ -18,20 +18,23 @@
 
 
 class Processes:
-    """Processes of one test, ended by their own ids."""
+    """Starts the processes of one test and kills them at its end."""
 
     def __init__(self):
         self._started = []
 
-    def start(self, *words):
+    def start(self, *arguments):
         process = subprocess.Popen(
-            [sys.executable, "-m", *words], stdout=subprocess.PIPE, text=True, cwd=ROOT
+            [sys.executable, "-m", *arguments],
+            stdout=subprocess.PIPE,
+            text=True,
+            cwd=ROOT,
         )
         self._started.append(process)
         address = Address.parse(process.stdout.readline().split()[1])
         return process, address
 
-    def end(self):
+    def kill_all(self):
         for process in self._started:
             process.send_signal(signal.SIGCONT)
             process.kill()
@@ -43,10 +46,10 @@
 def processes():
     started = Processes()
     yield started
-    started.end()
+    started.kill_all()
 
 
-def start_all(processes, log):
+def start_engine_and_nodes(processes, log):
     _, engine = processes.start("standins.engine", "--tokens-per-second=200")
     relay = ["bench.relayprocess", f"--engine={engine}", "--grace-seconds=0.05"]
     first = processes.start(*relay, f"--log={log}")
@@ -54,38 +57,42 @@
 
 
 class TestNodeProcess:
-    async def test_killed_in_the_middle(self, processes, tmp_path):
-        """The node's process is killed while a draft streams. Its caller goes on at
-        another node and has every token once.
+    async def test_caller_resumes_after_node_is_killed(self, processes, tmp_path):
+        """The node's process is killed in mid-stream. The caller resumes at another
+        node and gets each token once.
         """
-        (first, first_at), (_, second_at) = start_all(processes, tmp_path / "log")
+        (first, first_address), (_, second_address) = start_engine_and_nodes(
+            processes, tmp_path / "log"
+        )
         caller = Caller(KEY)
-        stream = await caller.complete(first_at, "a [length=120]")
+        stream = await caller.complete(first_address, "a [length=120]")
         answer = await caller.read(stream, n_tokens=20)
         first.kill()
-        await caller.resume(second_at, answer)
+        await caller.resume(second_address, answer)
         generation_id = answer.events[0]["id"].removeprefix("cmpl-")
         assert answer.text == expected_text("a [length=120]", generation_id, 120)
         assert answer.is_done
 
-    async def test_frozen_and_thawed_while_its_caller_resumed_elsewhere(
+    async def test_paused_node_does_not_cancel_resumed_generation(
         self, processes, tmp_path
     ):
-        """The node's process stands still, its caller gives up on it and goes on at
-        another node. When the first wakes it finds its caller gone and cancels; were
-        it obeyed, the caller's draft would be cut by a node it no longer uses.
+        """The node's process is paused, and its caller resumes at another node. Once
+        continued, the first node finds its caller disconnected and cancels; if the
+        engine obeyed, the caller's generation would be cut off.
         """
         log = tmp_path / "log"
-        (first, first_at), (_, second_at) = start_all(processes, log)
+        (first, first_address), (_, second_address) = start_engine_and_nodes(
+            processes, log
+        )
         caller = Caller(KEY)
         prompt = "b [length=100000]"
-        stream = await caller.complete(first_at, prompt, max_tokens=20_000)
+        stream = await caller.complete(first_address, prompt, max_tokens=20_000)
         answer = await caller.read(stream, n_tokens=20)
         os.kill(first.pid, signal.SIGSTOP)
         stream.close()
         answer.unread = b""
         stream = await caller.open(
-            second_at, "GET", f"/v1/generations/{answer.last_id}"
+            second_address, "GET", f"/v1/generations/{answer.last_id}"
         )
         await caller.read(stream, answer.n_tokens + 20, answer)
         os.kill(first.pid, signal.SIGCONT)
