--- a/celerytrail/engines/client.py
+++ b/celerytrail/engines/client.py
@@ -60,7 +60,7 @@
     async def generate(
         self,
         address: Address,
-        order: GenerateOrder,
+        req: GenerateOrder,
         *,
         deadline: float,
         request_deadline: float | None = None,
@@ -72,8 +72,8 @@
         ----------
         address : Address
             The engine.
-        order : GenerateOrder
-            What to generate.
+        req : GenerateOrder
+            The generation's prompt and options.
         deadline : float
             Monotonic time by which the response head must have arrived.
         request_deadline : float or None
@@ -89,7 +89,7 @@
             address,
             "POST",
             "/generate",
-            body=msgspec.json.encode(order),
+            body=msgspec.json.encode(req),
             headers=all_headers,
             deadline=deadline,
         )
@@ -100,7 +100,7 @@
                     EngineRefused(reason=exc.reason, detail=exc.detail, retry_after=1.0)
                 )
             return Err(EngineLost(reason=exc.reason, detail=exc.detail))
-        return await self._read_head(opened.ok_value, order.generation_id, deadline)
+        return await self._read_head(opened.ok_value, req.generation_id, deadline)
 
     async def resume(
         self,
--- a/celerytrail/http/__init__.py
+++ b/celerytrail/http/__init__.py
@@ -1,1 +1,1 @@
-"""HTTP: messages, client, server, routes, and the network beneath."""
+"""HTTP/1.1 client and server: messages, routes and the network interface."""
--- a/celerytrail/http/client.py
+++ b/celerytrail/http/client.py
@@ -1,4 +1,8 @@
-"""A pooled HTTP/1.1 client by h11 that tells "not sent" from "perhaps received"."""
+"""A pooled HTTP/1.1 client on h11.
+
+Its errors distinguish requests that were never sent from those that the peer may have
+received.
+"""
 
 from __future__ import annotations
 
@@ -19,10 +23,10 @@
 
 MAX_IDLE_PER_ADDRESS = 16
 MAX_RESPONSE_BYTES = 4 * 1024 * 1024
-# How long an idle connection is kept where the peer names no time, in seconds.
+# Lifetime of an idle connection if the peer announces no keep-alive timeout.
 IDLE_SECONDS = 30.0
-# A peer that closes idle connections after N seconds may be a little early; ours are
-# dropped at this share of it, so that no request crosses the close.
+# Share of the peer's keep-alive timeout after which an idle connection is dropped. A
+# peer may close slightly early, and a request must not cross with the close.
 IDLE_SHARE = 0.7
 
 Pairs = Iterable[tuple[str, str]]
@@ -30,7 +34,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class NotSent:
-    """No byte of the request left this process, so the peer can't have run it."""
+    """Reports that no byte of the request was sent, so the peer can't have run it."""
 
     reason: str
     detail: str = ""
@@ -38,7 +42,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Lost:
-    """The request may have reached the peer, but no whole answer came back."""
+    """Reports that no complete answer arrived; the peer may have run the request."""
 
     reason: str
     detail: str = ""
@@ -48,15 +52,18 @@
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
-class _Idle:
-    """A connection that waits for its next exchange until loop time ``drop_at``."""
+class _IdleConnection:
+    """Holds an idle connection that may be reused until loop time ``drop_at``."""
 
     conn: Connection
     drop_at: float
 
 
 class Stream:
-    """An answer being read; its connection is pooled only after its proper end."""
+    """Reads the body of an answer and returns its connection to the pool.
+
+    The connection is pooled only after the proper end of the body.
+    """
 
     def __init__(
         self,
@@ -78,16 +85,16 @@
     async def next_chunk(
         self, deadline: float | None = None
     ) -> Result[bytes | None, Lost]:
-        """Return the next piece of the body, or None at its proper end.
+        """Return the next chunk of the body, or None at its proper end.
 
         Parameters
         ----------
         deadline : float or None
-            Loop time until which to wait for it.
+            Loop time until which to wait for the chunk.
         """
         if self._is_abandoned:
-            # Whoever reads on after another task has closed the answer must not take
-            # that for its proper end.
+            # Another task has closed the answer; that must not look like its proper
+            # end.
             return Err(Lost(reason="abandoned"))
         if self._is_ended:
             return Ok(None)
@@ -100,7 +107,7 @@
             self.close()
             raise
         except PeerError as exc:
-            # An answer without its proper end is an error, never a short answer.
+            # A truncated answer is an error, not a short answer.
             self.close()
             return Err(Lost(reason="cut", detail=str(exc)))
         if isinstance(event, h11.Data):
@@ -110,7 +117,7 @@
         return Ok(None)
 
     async def read(self, deadline: float | None = None) -> Result[bytes, Lost]:
-        """Return the whole rest of the body."""
+        """Return the remaining body."""
         body = bytearray()
         while True:
             match await self.next_chunk(deadline):
@@ -126,7 +133,10 @@
                 return Err(Lost(reason="too_large"))
 
     def close(self) -> None:
-        """Abandon the answer: the connection is closed, so nothing can cross over."""
+        """Abandon the answer and close its connection.
+
+        A pooled connection would deliver the rest of this answer to the next request.
+        """
         if not self._is_ended:
             self._is_ended = True
             self._is_abandoned = True
@@ -134,19 +144,19 @@
 
 
 class HttpClient:
-    """Makes exchanges with peers, one at a time on each connection.
+    """Sends requests to peers, one at a time on each connection.
 
     Parameters
     ----------
     process : str
-        A name for this process, the first part of each exchange's id.
+        Name of this process, the first part of each exchange's id.
     network : Network or None
-        What carries the connections; the machine's own by default.
+        Makes the connections; TCP of this machine by default.
     id_header : str or None
-        The header by which a peer echoes the exchange's id, in lower case; None for
-        peers that echo nothing.
+        Header in which a peer echoes the exchange's id, in lower case; None if the
+        peers don't echo it.
     allows_unframed : bool
-        Whether an answer may have no length and end with its connection.
+        Whether an answer may lack a length and end with its connection.
     """
 
     def __init__(
@@ -161,8 +171,8 @@
         self._network = network or SystemNetwork()
         self._id_header = id_header
         self._allows_unframed = allows_unframed
-        self._numbers = itertools.count(1)
-        self._idle: dict[Address, list[_Idle]] = {}
+        self._exchange_numbers = itertools.count(1)
+        self._idle: dict[Address, list[_IdleConnection]] = {}
         self.n_connected = 0
 
     async def request(
@@ -176,7 +186,7 @@
         deadline: float | None = None,
         fresh: bool = False,
     ) -> Result[Response, ClientError]:
-        """Make a whole exchange; see `open` for the parameters."""
+        """Send a request and read the whole answer; see `open` for the parameters."""
         opened = await self.open(
             address,
             method,
@@ -190,9 +200,9 @@
             return Err(opened.err_value)
         stream = opened.ok_value
         match await stream.read(deadline):
-            case Ok(whole):
+            case Ok(content):
                 return Ok(
-                    Response(status=stream.status, headers=stream.headers, body=whole)
+                    Response(status=stream.status, headers=stream.headers, body=content)
                 )
             case Err(lost):
                 return Err(lost)
@@ -208,7 +218,7 @@
         deadline: float | None = None,
         fresh: bool = False,
     ) -> Result[Response, ClientError]:
-        """Make a whole exchange with a JSON body."""
+        """Send a request with a JSON body and read the whole answer."""
         return await self.request(
             address,
             method,
@@ -242,41 +252,45 @@
         method, path, body, headers
             The request; ``path`` includes the query.
         deadline : float or None
-            Loop time until which the head must have come.
+            Loop time by which the head must have arrived.
         fresh : bool
-            Whether to refuse a pooled connection. A peer may be closing an idle one
-            just as we write to it, which leaves a call that may not be repeated in
-            doubt; a new connection has no such moment.
+            Whether to use a new connection. A peer may close an idle connection just
+            as a request is written to it, which leaves unknown whether the request
+            ran. A new connection has no such race, so it is used for calls that may
+            not be repeated.
         request_id : str or None
             The exchange's id; a new one by default.
         may_send : callable or None
-            Asked right before the first byte goes out; nothing is sent where it
-            returns False.
+            Called right before the first byte is sent; nothing is sent if it returns
+            False.
         connect_seconds : float or None
-            How long a new connection may take to be made; until the deadline by
-            default.
+            Timeout for making a new connection, in addition to the deadline.
         """
-        connect_by = deadline
+        connect_deadline = deadline
         if connect_seconds is not None:
-            connect_by = asyncio.get_running_loop().time() + connect_seconds
-            connect_by = connect_by if deadline is None else min(connect_by, deadline)
-        taken = await self._take(address, connect_by, fresh)
-        if isinstance(taken, Err):
-            return Err(taken.err_value)
-        conn = taken.ok_value
+            connect_deadline = asyncio.get_running_loop().time() + connect_seconds
+            connect_deadline = (
+                connect_deadline
+                if deadline is None
+                else min(connect_deadline, deadline)
+            )
+        acquired = await self._acquire(address, connect_deadline, fresh)
+        if isinstance(acquired, Err):
+            return Err(acquired.err_value)
+        conn = acquired.ok_value
         if deadline is not None and asyncio.get_running_loop().time() >= deadline:
-            # A process that was paused while it connected wakes up here, perhaps long
-            # after; whoever asked must not find its request run after the deadline.
+            # A process that was paused while it connected may continue here long after
+            # the deadline; the request must not run then.
             conn.abort()
             return Err(NotSent(reason="deadline", detail=str(address)))
         if may_send is not None and not may_send():
-            self._keep(address, conn)
+            self._add_idle(address, conn)
             return Err(NotSent(reason="withdrawn", detail=str(address)))
-        request_id = request_id or f"{self._process}-{next(self._numbers)}"
-        self._write(conn, address, method, path, body, headers or {}, request_id)
+        request_id = request_id or f"{self._process}-{next(self._exchange_numbers)}"
+        self._send_request(conn, address, method, path, body, headers or {}, request_id)
         try:
             await conn.drain(deadline)
-            event = await _answer_head(conn, deadline)
+            event = await _read_final_head(conn, deadline)
         except TimeoutError:
             conn.abort()
             return Err(Lost(reason="timeout"))
@@ -284,22 +298,22 @@
             conn.abort()
             return Err(Lost(reason="cut", detail=str(exc)))
         except BaseException:
-            # A cancelled exchange leaves an answer on its way; were the connection
-            # pooled, the next request on it would be given that answer.
+            # The answer to a cancelled exchange may still arrive; if the connection
+            # were pooled, the next request on it would receive that answer.
             conn.abort()
             raise
         if not isinstance(event, h11.Response):
             conn.abort()
             return Err(Lost(reason="cut", detail="closed before its answer"))
-        return self._check(conn, address, event, request_id)
+        return self._check_head(conn, address, event, request_id)
 
     def release(
         self, address: Address, conn: Connection, headers: Mapping[str, str]
     ) -> None:
-        """Keep a connection whose exchange ended properly, where it can be reused."""
+        """Pool a connection whose exchange ended properly, if it can be reused."""
         is_done = conn.h11.our_state is h11.DONE and conn.h11.their_state is h11.DONE
-        # Bytes behind a whole answer belong to no exchange; the next one on this
-        # connection would be given them.
+        # Bytes after a complete answer belong to no exchange, and the next request on
+        # this connection would receive them.
         is_clean = conn.h11.trailing_data == (b"", False)
         idle = self._idle.setdefault(address, [])
         is_full = len(idle) >= MAX_IDLE_PER_ADDRESS
@@ -307,37 +321,37 @@
             conn.close()
             return
         conn.h11.start_next_cycle()
-        self._keep(address, conn, _idle_seconds(headers))
+        self._add_idle(address, conn, _idle_seconds(headers))
 
-    def _keep(
+    def _add_idle(
         self, address: Address, conn: Connection, seconds: float = IDLE_SECONDS
     ) -> None:
         drop_at = asyncio.get_running_loop().time() + seconds
         idle = self._idle.setdefault(address, [])
-        idle.append(_Idle(conn=conn, drop_at=drop_at))
+        idle.append(_IdleConnection(conn=conn, drop_at=drop_at))
 
     def is_connected(self, address: Address) -> bool:
         """Return whether a connection to a peer is likely to be reused."""
         now = asyncio.get_running_loop().time()
         return any(
-            now < waiting.drop_at and not waiting.conn.is_lost
-            for waiting in self._idle.get(address, ())
+            now < entry.drop_at and not entry.conn.is_lost
+            for entry in self._idle.get(address, ())
         )
 
-    def forget(self, address: Address) -> None:
-        """Close the idle connections to a peer that is gone."""
-        for waiting in self._idle.pop(address, []):
-            waiting.conn.close()
+    def close_idle(self, address: Address) -> None:
+        """Close the idle connections to a peer."""
+        for entry in self._idle.pop(address, []):
+            entry.conn.close()
 
     def close(self) -> None:
         """Close all idle connections."""
         for address in list(self._idle):
-            self.forget(address)
+            self.close_idle(address)
 
-    def _check(
+    def _check_head(
         self, conn: Connection, address: Address, head: h11.Response, request_id: str
     ) -> Result[Stream, ClientError]:
-        """Refuse an answer to another exchange and one whose end can't be known."""
+        """Reject an answer to another exchange or one without a known length."""
         headers = header_map(list(head.headers))
         if self._id_header and headers.get(self._id_header) != request_id:
             conn.abort()
@@ -356,16 +370,16 @@
             )
         )
 
-    async def _take(
+    async def _acquire(
         self, address: Address, deadline: float | None, fresh: bool
     ) -> Result[Connection, NotSent]:
         idle = self._idle.get(address, [])
         now = asyncio.get_running_loop().time()
         while idle and not fresh:
-            waiting = idle.pop()
-            conn = waiting.conn
+            entry = idle.pop()
+            conn = entry.conn
             is_clean = conn.h11.trailing_data == (b"", False)
-            if not conn.is_lost and is_clean and now < waiting.drop_at:
+            if not conn.is_lost and is_clean and now < entry.drop_at:
                 return Ok(conn)
             conn.abort()
         try:
@@ -380,7 +394,7 @@
         self.n_connected += 1
         return Ok(conn)
 
-    def _write(
+    def _send_request(
         self,
         conn: Connection,
         address: Address,
@@ -391,20 +405,20 @@
         request_id: str,
     ) -> None:
         pairs = headers.items() if isinstance(headers, Mapping) else headers
-        whole = [("content-length", str(len(body))), *pairs]
-        names = {name.lower() for name, _ in whole}
+        all_headers = [("content-length", str(len(body))), *pairs]
+        names = {name.lower() for name, _ in all_headers}
         if "host" not in names:
-            whole.insert(0, ("host", str(address)))
+            all_headers.insert(0, ("host", str(address)))
         if self._id_header and self._id_header not in names:
-            whole.append((self._id_header, request_id))
-        conn.send(h11.Request(method=method, target=path, headers=whole))
+            all_headers.append((self._id_header, request_id))
+        conn.send(h11.Request(method=method, target=path, headers=all_headers))
         if body:
             conn.send(h11.Data(data=body))
         conn.send(h11.EndOfMessage())
 
 
-async def _answer_head(conn: Connection, deadline: float | None) -> h11.Event:
-    """Return the final answer's head, past all informational ones."""
+async def _read_final_head(conn: Connection, deadline: float | None) -> h11.Event:
+    """Return the head of the final answer, skipping informational ones."""
     event = await conn.next_event(deadline)
     while isinstance(event, h11.InformationalResponse):
         event = await conn.next_event(deadline)
@@ -412,6 +426,6 @@
 
 
 def _idle_seconds(headers: Mapping[str, str]) -> float:
-    """Return how long a connection may wait for its next exchange."""
-    named = re.search(r"timeout=(\d+)", headers.get("keep-alive", ""))
-    return IDLE_SHARE * int(named[1]) if named else IDLE_SECONDS
+    """Return how long a connection may stay idle, by the peer's keep-alive header."""
+    match = re.search(r"timeout=(\d+)", headers.get("keep-alive", ""))
+    return IDLE_SHARE * int(match[1]) if match else IDLE_SECONDS
--- a/celerytrail/http/messages.py
+++ b/celerytrail/http/messages.py
@@ -1,4 +1,4 @@
-"""HTTP/1.1 by h11 on an asyncio transport: what server and client share."""
+"""HTTP/1.1 on h11 and an asyncio transport: the parts shared by server and client."""
 
 from __future__ import annotations
 
@@ -16,20 +16,20 @@
 MAX_HEAD_BYTES = 16 * 1024
 READ_AHEAD_BYTES = 64 * 1024
 RECEIVE_BYTES = 64 * 1024
-# What h11 may leave of a chunk that it has handed out: its closing line break.
+# h11 may keep the closing line break of a chunk whose data it has returned.
 CHUNK_TAIL_BYTES = 2
 
 # All connections receive into this one buffer: there is one loop on one thread, and
-# what came is copied out before the next call. Without it asyncio allocates 256 KiB
-# for each read, which costs more than the rest of relaying a token.
-_received = memoryview(bytearray(RECEIVE_BYTES))
+# the received bytes are copied before the next call. Without it asyncio allocates
+# 256 KiB for each read, which costs more than the rest of relaying a token.
+_receive_buffer = memoryview(bytearray(RECEIVE_BYTES))
 
 Headers = list[tuple[bytes, bytes]]
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Request:
-    """A whole request as the server received it.
+    """Holds a complete request as the server received it.
 
     Parameters
     ----------
@@ -38,15 +38,15 @@
     path : str
         The path without its query, still percent-encoded.
     query : str
-        What stood behind the question mark; may be empty.
+        The part after the question mark; may be empty.
     headers : Mapping
         Names in lower case to values; repeated headers joined by a comma.
     body : bytes
         The whole body.
     peer : str
-        The other end's IP number and port, for the log.
+        The peer's IP address and port, for the log.
     raw_headers : Headers
-        The headers as they came, in order, for whoever passes them on.
+        The headers as received, in order, for forwarding.
     """
 
     method: str
@@ -60,7 +60,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Response:
-    """A whole response as the client received it."""
+    """Holds a complete response as the client received it."""
 
     status: int
     headers: Mapping[str, str]
@@ -78,17 +78,17 @@
 
 
 def header_map(headers: Headers) -> dict[str, str]:
-    """Turn h11's header list into a map, joining repeated headers by a comma."""
-    found: dict[str, str] = {}
+    """Convert h11's header list to a map, joining repeated headers by a comma."""
+    joined: dict[str, str] = {}
     for raw_name, raw_value in headers:
         name = raw_name.decode("ascii", "replace").lower()
         value = raw_value.decode("latin-1")
-        found[name] = f"{found[name]}, {value}" if name in found else value
-    return found
+        joined[name] = f"{joined[name]}, {value}" if name in joined else value
+    return joined
 
 
 def header_list(headers: Mapping[str, str]) -> Headers:
-    """Turn a map of headers into the list that h11 takes."""
+    """Convert a map of headers to h11's header list."""
     return [
         (name.encode("ascii"), value.encode("latin-1"))
         for name, value in headers.items()
@@ -96,17 +96,17 @@
 
 
 class Connection(asyncio.Protocol, asyncio.BufferedProtocol):
-    """One h11 connection on one transport, read by one task at a time.
+    """Connects h11 to an asyncio transport; read by one task at a time.
 
-    Reading pauses while more than `READ_AHEAD_BYTES` wait to be taken, so that a fast
-    sender before a slow reader fills its own buffers and not our memory.
+    Reading pauses while more than `READ_AHEAD_BYTES` are unread, so that a sender that
+    is faster than our reading task fills its own buffers and not our memory.
 
     Parameters
     ----------
     role : type
         ``h11.CLIENT`` or ``h11.SERVER``.
     max_head_bytes : int
-        The largest head that is read; a larger one is a protocol error.
+        Limit on the size of a head; a larger one is a protocol error.
     """
 
     def __init__(
@@ -121,8 +121,8 @@
         self.is_lost = False
         self.is_eof = False
         self._n_unread = 0
-        self._reader: asyncio.Future[None] | None = None
-        self._writer: asyncio.Future[None] | None = None
+        self._read_waiter: asyncio.Future[None] | None = None
+        self._write_waiter: asyncio.Future[None] | None = None
         self._is_write_paused = False
         self._is_discarding = False
         self._is_after_chunk = False
@@ -131,68 +131,68 @@
         self._loop = asyncio.get_running_loop()
         self.lost: asyncio.Future[None] = self._loop.create_future()
 
-    # What the transport calls.
+    # Called by the transport.
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Keep the transport."""
+        """Store the transport."""
         assert isinstance(transport, asyncio.Transport)
         self.transport = transport
 
     def get_buffer(self, sizehint: int) -> memoryview:
-        """Return where to put bytes."""
-        return _received
+        """Return the buffer to receive into."""
+        return _receive_buffer
 
     def buffer_updated(self, nbytes: int) -> None:
-        """Take the bytes that were put there."""
-        self.data_received(bytes(_received[:nbytes]))
+        """Process the bytes received into the buffer."""
+        self.data_received(bytes(_receive_buffer[:nbytes]))
 
     def data_received(self, data: bytes) -> None:
-        """Hand bytes to h11 and wake the reading task."""
+        """Pass bytes to h11 and wake the reading task."""
         if self._is_discarding:
             return
         self.h11.receive_data(data)
         self._n_unread += len(data)
         if self._n_unread > READ_AHEAD_BYTES and self.transport is not None:
             self.transport.pause_reading()
-        self._wake(self._reader)
+        self._wake(self._read_waiter)
 
     def eof_received(self) -> bool:
-        """Note that the other end will send no more."""
+        """Record that the peer sends no more bytes."""
         self.is_eof = True
         self.h11.receive_data(b"")
-        self._wake(self._reader)
-        self._note_lost()
+        self._wake(self._read_waiter)
+        self._mark_lost()
         return False
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Note that the connection is gone and wake whoever waits on it."""
+        """Record that the connection is closed and wake the waiting tasks."""
         if not self.is_eof:
             self.is_eof = True
-            # A body without a length ends with its connection. Were a reset taken for
-            # that end, a torn answer would look whole to its caller.
+            # A body without a length ends with its connection. If a reset counted as
+            # that end, a truncated answer would look complete.
             if exc is None:
                 self.h11.receive_data(b"")
         if self._timer is not None:
             self._timer.cancel()
             self._timer = None
-        self._note_lost()
-        self._wake(self._reader)
-        self._wake(self._writer)
+        self._mark_lost()
+        self._wake(self._read_waiter)
+        self._wake(self._write_waiter)
 
     def pause_writing(self) -> None:
-        """Note that the other end reads too slowly."""
+        """Record that the write buffer is full, as the peer reads too slowly."""
         self._is_write_paused = True
 
     def resume_writing(self) -> None:
-        """Let the writing task go on."""
+        """Wake the writing task."""
         self._is_write_paused = False
-        self._wake(self._writer)
+        self._wake(self._write_waiter)
 
-    # What tasks call.
+    # Called by tasks.
 
     @property
     def peer(self) -> str:
-        """Return the other end's address, for logs."""
+        """Return the peer's address, for logs."""
         if self.transport is None:
             return "?"
         name = self.transport.get_extra_info("peername")
@@ -204,14 +204,14 @@
         Raises
         ------
         PeerError
-            When the other end broke the protocol.
+            When the peer broke the protocol.
         """
         try:
             event = self.h11.next_event()
         except h11.RemoteProtocolError as exc:
             raise PeerError(str(exc)) from exc
         if event is h11.NEED_DATA:
-            self._note_all_taken()
+            self._on_all_read()
         self._is_after_chunk = isinstance(event, h11.Data) and event.chunk_end
         return event
 
@@ -221,13 +221,13 @@
         Raises
         ------
         PeerError
-            When the other end broke the protocol or left in the middle.
+            When the peer broke the protocol or closed in the middle of a message.
         TimeoutError
             When the deadline passed.
         """
         while True:
             if self._is_empty_after_chunk():
-                self._note_all_taken()
+                self._on_all_read()
             else:
                 event = self.peek_event()
                 if event is h11.PAUSED:
@@ -239,14 +239,14 @@
             await self._wait_for_data(deadline)
 
     def send(self, event: h11.Event) -> None:
-        """Write one event; bytes for a connection that is gone are dropped."""
+        """Write one event; drop its bytes if the connection is closed."""
         data = self.h11.send(event)
         if data and self.transport is not None and not self.is_lost:
             self.transport.write(data)
 
     @property
-    def is_untouched(self) -> bool:
-        """Return whether no byte of a next message has come yet."""
+    def is_idle(self) -> bool:
+        """Return whether no byte of a next message has arrived."""
         return self.h11.their_state is h11.IDLE and not self.h11.trailing_data[0]
 
     @property
@@ -255,30 +255,30 @@
         return self._is_write_paused or self.is_lost
 
     async def drain(self, deadline: float | None = None) -> None:
-        """Wait until the other end has taken enough for more to be written.
+        """Wait until the peer has read enough for more to be written.
 
         Raises
         ------
         PeerError
-            When the connection is gone.
+            When the connection is closed.
         TimeoutError
             When the deadline passed.
         """
         while self._is_write_paused and not self.is_lost:
-            self._writer = self._loop.create_future()
+            self._write_waiter = self._loop.create_future()
             try:
                 async with asyncio.timeout_at(deadline):
-                    await self._writer
+                    await self._write_waiter
             finally:
-                self._writer = None
+                self._write_waiter = None
         if self.is_lost:
             raise PeerError("the connection is gone")
 
     async def linger(self, deadline: float) -> None:
-        """Discard what still comes until the other end closes or ``deadline``.
+        """Discard received bytes until the peer closes or ``deadline`` passes.
 
-        Closing while unread bytes wait resets the connection, and the reset can
-        destroy the answer that says why we close before the other end has read it.
+        Closing with unread bytes resets the connection, and the reset can discard the
+        answer that states the reason before the peer has read it.
         """
         self._is_discarding = True
         if self.transport is None or self.is_lost:
@@ -288,23 +288,23 @@
         await asyncio.wait([self.lost], timeout=deadline - self._loop.time())
 
     def close(self) -> None:
-        """Close after what was written has gone out."""
+        """Close once all written bytes have been sent."""
         if self.transport is not None:
             self.transport.close()
 
     def abort(self) -> None:
-        """Close at once, dropping what was not yet sent."""
+        """Close at once, dropping unsent bytes."""
         if self.transport is not None:
             self.transport.abort()
 
     async def _wait_for_data(self, deadline: float | None) -> None:
-        """Wait until something came, or raise TimeoutError at the deadline.
+        """Wait until bytes arrive, or raise TimeoutError at the deadline.
 
-        One timer stands for many waits: it is moved only when it fires or an earlier
-        deadline comes. A timer of its own for each token would cost more than the
-        token, as the deadline is hardly ever reached.
+        One timer serves many waits: it is rescheduled only when it fires or when a wait
+        has an earlier deadline. A separate timer for each token would cost more than
+        the token, as the deadline is hardly ever reached.
         """
-        self._reader = self._loop.create_future()
+        self._read_waiter = self._loop.create_future()
         self._deadline = deadline
         if deadline is not None:
             if self._timer is None:
@@ -313,35 +313,35 @@
                 self._timer.cancel()
                 self._timer = self._loop.call_at(deadline, self._on_timer, deadline)
         try:
-            await self._reader
+            await self._read_waiter
         finally:
-            self._reader = None
+            self._read_waiter = None
             self._deadline = None
 
-    def _on_timer(self, at: float) -> None:
+    def _on_timer(self, fired_at: float) -> None:
         self._timer = None
-        reader, deadline = self._reader, self._deadline
-        if reader is None or deadline is None or reader.done():
+        read_waiter, deadline = self._read_waiter, self._deadline
+        if read_waiter is None or deadline is None or read_waiter.done():
             return
-        if deadline > at:
+        if deadline > fired_at:
             self._timer = self._loop.call_at(deadline, self._on_timer, deadline)
         else:
-            reader.set_exception(TimeoutError())
+            read_waiter.set_exception(TimeoutError())
 
     def _is_empty_after_chunk(self) -> bool:
-        """Return whether h11 can have no further event, which spares asking it."""
+        """Return whether h11 certainly has no further event, to avoid calling it."""
         if not self._is_after_chunk:
             return False
-        rest, is_closed = self.h11.trailing_data
-        return len(rest) <= CHUNK_TAIL_BYTES and not is_closed
+        unread, is_closed = self.h11.trailing_data
+        return len(unread) <= CHUNK_TAIL_BYTES and not is_closed
 
-    def _note_all_taken(self) -> None:
+    def _on_all_read(self) -> None:
         if self._n_unread:
             self._n_unread = 0
             if self.transport is not None and not self.transport.is_closing():
                 self.transport.resume_reading()
 
-    def _note_lost(self) -> None:
+    def _mark_lost(self) -> None:
         self.is_lost = True
         if not self.lost.done():
             self.lost.set_result(None)
--- a/celerytrail/http/network.py
+++ b/celerytrail/http/network.py
@@ -1,4 +1,4 @@
-"""The network as this package uses it, so that tests can put a faulty one in place."""
+"""The network interface of this package, which tests replace by a faulty one."""
 
 from __future__ import annotations
 
@@ -15,26 +15,26 @@
 
 
 class Listener(abc.ABC):
-    """Something that accepts connections."""
+    """Accepts connections on an address."""
 
     @property
     @abc.abstractmethod
     def address(self) -> Address:
-        """Return the address listened on, with its real port."""
+        """Return the listening address with its actual port."""
 
     @abc.abstractmethod
     def close(self) -> None:
-        """Accept no more connections; those that stand go on."""
+        """Stop accepting connections; established ones stay open."""
 
 
 class Network(abc.ABC):
-    """Streams and datagrams between IP numbers."""
+    """Opens stream connections and datagram sockets between IP addresses."""
 
     @abc.abstractmethod
     async def listen(
         self, factory: Callable[[], asyncio.Protocol], address: Address
     ) -> Listener:
-        """Accept connections, each with a protocol of its own."""
+        """Accept connections, creating a protocol for each."""
 
     @abc.abstractmethod
     async def connect(self, factory: Callable[[], P], address: Address) -> P:
@@ -43,18 +43,18 @@
         Raises
         ------
         OSError
-            When nothing accepts there.
+            When the connection can't be made.
         """
 
     @abc.abstractmethod
     async def open_datagrams(
         self, factory: Callable[[], asyncio.DatagramProtocol], address: Address
     ) -> asyncio.DatagramTransport:
-        """Send and receive datagrams on an address."""
+        """Open a socket for datagrams on an address."""
 
 
 class SystemNetwork(Network):
-    """The machine's own TCP and UDP."""
+    """TCP and UDP of this machine."""
 
     async def listen(
         self, factory: Callable[[], asyncio.Protocol], address: Address
--- a/celerytrail/http/routes.py
+++ b/celerytrail/http/routes.py
@@ -1,4 +1,4 @@
-"""Routes: which handler answers which method and path."""
+"""Routing of requests to handlers by method and path."""
 
 from __future__ import annotations
 
@@ -13,10 +13,10 @@
 
 
 class Router(Handler):
-    """Finds the handler by method and path template, such as ``/v1/models/{name}``.
+    """Selects a handler by method and path template, such as ``/v1/models/{name}``.
 
     A part in braces matches one path segment; ``{name+}`` as the last part matches
-    all the rest.
+    all remaining segments.
     """
 
     def __init__(self) -> None:
@@ -27,9 +27,9 @@
         self._routes.append((method, template.strip("/").split("/"), handler))
 
     async def handle(self, req: Request, res: Responder) -> None:
-        """Answer by the matching route, or with a typed 404 or 405."""
+        """Call the handler of the matching route, or answer with 404 or 405."""
         segments = req.path.strip("/").split("/")
-        methods = []
+        allowed_methods = []
         for method, template, handler in self._routes:
             params = _match(template, segments)
             if params is None:
@@ -37,15 +37,15 @@
             if method == req.method:
                 await handler(req, res, params)
                 return
-            methods.append(method)
-        if methods:
+            allowed_methods.append(method)
+        if allowed_methods:
             await send_error(
                 res,
                 405,
                 "method_not_allowed",
                 place="method",
-                message=f"{req.path} takes {', '.join(methods)}",
-                headers={"allow": ", ".join(methods)},
+                message=f"{req.path} takes {', '.join(allowed_methods)}",
+                headers={"allow": ", ".join(allowed_methods)},
             )
             return
         await send_error(
@@ -61,23 +61,23 @@
     place: str,
     message: str,
     headers: dict[str, str] | None = None,
-    **more: object,
+    **details: object,
 ) -> None:
-    """Send the one shape that every error answer has."""
-    error = {"type": kind, "place": place, "message": message, **more}
+    """Send an error answer in the common format."""
+    error = {"type": kind, "place": place, "message": message, **details}
     await res.send_json(status, {"error": error}, headers)
 
 
 def _match(template: list[str], segments: list[str]) -> Params | None:
     params: Params = {}
-    for number, part in enumerate(template):
+    for index, part in enumerate(template):
         if part.startswith("{") and part.endswith("+}"):
-            params[part[1:-2]] = unquote("/".join(segments[number:]))
-            return params if len(segments) > number else None
-        if number >= len(segments):
+            params[part[1:-2]] = unquote("/".join(segments[index:]))
+            return params if len(segments) > index else None
+        if index >= len(segments):
             return None
         if part.startswith("{") and part.endswith("}"):
-            params[part[1:-1]] = unquote(segments[number])
-        elif part != segments[number]:
+            params[part[1:-1]] = unquote(segments[index])
+        elif part != segments[index]:
             return None
     return params if len(template) == len(segments) else None
--- a/celerytrail/http/server.py
+++ b/celerytrail/http/server.py
@@ -1,4 +1,4 @@
-"""An HTTP/1.1 server by h11: one task a connection, bounded in every direction."""
+"""An HTTP/1.1 server on h11: one task per connection, with limits on every resource."""
 
 from __future__ import annotations
 
@@ -24,15 +24,16 @@
 )
 from .network import Listener, Network, SystemNetwork
 
+# How long a refused connection stays open so that the caller can read the answer.
 LINGER_SECONDS = 1.0
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class ServerLimits:
-    """What one connection may use; seconds and bytes.
+    """Holds the limits of a connection, in seconds and bytes, and on their number.
 
-    Without the time limits a sender of one byte a minute would hold a connection for
-    ever, and a few thousand of them would leave none for others; without the byte
+    Without the time limits a sender of one byte per minute would hold a connection
+    forever, and a few thousand of them would use up all connections; without the byte
     limits one sender could fill the memory.
     """
 
@@ -46,14 +47,14 @@
 
 
 class Responder:
-    """The answer to one request: whole with `send`, or streamed piece by piece.
+    """Sends the answer to one request: whole with `send`, or streamed in pieces.
 
     Parameters
     ----------
     conn : Connection
         The connection to answer on.
     limits : ServerLimits
-        The limits that hold for the connection.
+        The limits of the connection.
     """
 
     def __init__(self, *, conn: Connection, limits: ServerLimits) -> None:
@@ -64,12 +65,12 @@
 
     @property
     def lost(self) -> asyncio.Future[None]:
-        """Return a future that is done once the caller has gone."""
+        """Return a future that is done once the caller has disconnected."""
         return self._conn.lost
 
     @property
     def is_lost(self) -> bool:
-        """Return whether the caller has gone."""
+        """Return whether the caller has disconnected."""
         return self._conn.is_lost
 
     async def send(
@@ -86,41 +87,41 @@
         self, status: int, value: object, headers: Mapping[str, str] | None = None
     ) -> None:
         """Send a value as JSON."""
-        whole = {"content-type": JSON_TYPE, **(headers or {})}
-        await self.send(status, msgspec.json.encode(value), whole)
+        all_headers = {"content-type": JSON_TYPE, **(headers or {})}
+        await self.send(status, msgspec.json.encode(value), all_headers)
 
     def start(self, status: int, headers: Mapping[str, str]) -> None:
         """Send the head; a body without a length is sent in chunks."""
-        whole = dict(headers)
+        sent = dict(headers)
         if self._conn.request_id is not None:
-            # The caller's id of the exchange comes back so that it can check it.
-            whole[REQUEST_ID_HEADER] = self._conn.request_id
+            # The exchange's id is echoed so that the caller can check it.
+            sent[REQUEST_ID_HEADER] = self._conn.request_id
         if self.is_closing:
-            whole["connection"] = "close"
-        if "content-length" not in whole:
-            whole["transfer-encoding"] = "chunked"
+            sent["connection"] = "close"
+        if "content-length" not in sent:
+            sent["transfer-encoding"] = "chunked"
         self.status = status
-        self._conn.send(h11.Response(status_code=status, headers=header_list(whole)))
+        self._conn.send(h11.Response(status_code=status, headers=header_list(sent)))
 
     async def write(self, data: bytes) -> None:
-        """Send a piece of a streamed body, waiting while the caller is behind.
+        """Send a piece of a streamed body, waiting while the write buffer is full.
 
         Raises
         ------
         PeerError
-            When the caller has gone or took nothing for too long.
+            When the caller has disconnected or read nothing for ``write_seconds``.
         """
         self._conn.send(h11.Data(data=data))
         if self._conn.must_drain:
             await self._drain()
 
     async def finish(self) -> None:
-        """Send the proper end of a streamed body."""
+        """Send the end of a streamed body."""
         self._conn.send(h11.EndOfMessage())
         await self._drain()
 
     def abort(self) -> None:
-        """Cut the connection, so that a part of an answer can't pass for the whole."""
+        """Abort the connection, so that a partial answer can't look complete."""
         self._conn.abort()
 
     async def _drain(self) -> None:
@@ -129,11 +130,11 @@
             await self._conn.drain(deadline)
         except TimeoutError as exc:
             self._conn.abort()
-            raise PeerError("the caller took nothing for too long") from exc
+            raise PeerError("the caller read nothing within the write timeout") from exc
 
 
 class Handler(abc.ABC):
-    """What answers requests."""
+    """Answers requests."""
 
     @abc.abstractmethod
     async def handle(self, req: Request, res: Responder) -> None:
@@ -141,16 +142,16 @@
 
 
 class HttpServer:
-    """Accepts connections and gives each request to a handler.
+    """Accepts connections and passes each request to a handler.
 
     Parameters
     ----------
     handler : Handler
-        What answers.
+        Answers the requests.
     limits : ServerLimits
-        Bounds for each connection and their number.
+        Limits of each connection and on their number.
     network : Network or None
-        What carries the connections; the machine's own by default.
+        Accepts the connections; TCP of this machine by default.
     """
 
     def __init__(
@@ -170,31 +171,32 @@
         self.is_retiring = False
 
     async def start(self, address: Address) -> Address:
-        """Listen on an address; port 0 takes a free one. Returns the real address."""
-        self._listener = await self._network.listen(self._connection, address)
+        """Listen on an address and return it; for port 0 with the port chosen."""
+        self._listener = await self._network.listen(self._make_connection, address)
         return self._listener.address
 
     @property
     def n_busy(self) -> int:
-        """Return how many exchanges are in progress."""
+        """Return the number of exchanges in progress."""
         return len(self._busy)
 
     def set_limits(self, limits: ServerLimits) -> None:
-        """Set the limits for requests from now on."""
+        """Replace the limits for future requests."""
         self._limits = limits
 
     def retire(self) -> None:
-        """Close idle connections and announce the close on all others' answers.
+        """Close idle connections and announce the close in all further answers.
 
-        New connections are still taken: callers keep an address answer for a while.
+        New connections are still accepted, as callers cache the resolved address for a
+        while.
         """
         self.is_retiring = True
         for conn in list(self._tasks.values()):
-            if conn not in self._busy and conn.is_untouched:
+            if conn not in self._busy and conn.is_idle:
                 conn.close()
 
     async def drain(self) -> None:
-        """Stop listening, let every exchange in progress end, then close all."""
+        """Stop listening, wait for the exchanges in progress, then close."""
         self._is_draining = True
         if self._listener is not None:
             self._listener.close()
@@ -205,7 +207,7 @@
             await asyncio.wait(list(self._tasks))
 
     async def close(self) -> None:
-        """Stop at once, cutting what is in progress."""
+        """Stop at once, aborting the exchanges in progress."""
         if self._listener is not None:
             self._listener.close()
         for task, conn in list(self._tasks.items()):
@@ -214,11 +216,11 @@
         if self._tasks:
             await asyncio.wait(list(self._tasks))
 
-    def _connection(self) -> Connection:
+    def _make_connection(self) -> Connection:
         return _ServerConnection(self, self._limits.max_head_bytes)
 
     def accept(self, conn: Connection) -> None:
-        """Serve a connection that was just made."""
+        """Serve a new connection, or abort it if the server is full or draining."""
         if len(self._tasks) >= self._limits.max_connections or self._is_draining:
             conn.abort()
             return
@@ -228,7 +230,7 @@
 
     async def _serve(self, conn: Connection) -> None:
         try:
-            while await self._serve_one(conn):
+            while await self._serve_exchange(conn):
                 conn.h11.start_next_cycle()
         except (PeerError, TimeoutError, h11.LocalProtocolError) as exc:
             log_message(
@@ -237,10 +239,10 @@
         finally:
             conn.close()
 
-    async def _serve_one(self, conn: Connection) -> bool:
-        """Serve one exchange; returns whether the connection can serve another."""
+    async def _serve_exchange(self, conn: Connection) -> bool:
+        """Serve one exchange; return whether the connection can serve another."""
         try:
-            req = await self._read(conn)
+            req = await self._read_request(conn)
         except (PeerError, TimeoutError) as exc:
             await self._refuse(conn, exc)
             return False
@@ -254,8 +256,8 @@
         except PeerError:
             raise
         except Exception as exc:
-            # A fault in a handler must not take the process, nor leave the caller
-            # waiting: it gets a 500, or a cut stream where the head has gone out.
+            # A bug in a handler must neither stop the process nor leave the caller
+            # waiting: it gets a 500, or an aborted stream if the head has been sent.
             log_message("http:server:handler_failed", path=req.path, problem=repr(exc))
             if res.status is not None:
                 conn.abort()
@@ -267,7 +269,7 @@
             return False
         return conn.h11.our_state is h11.DONE and conn.h11.their_state is h11.DONE
 
-    async def _read(self, conn: Connection) -> Request | None:
+    async def _read_request(self, conn: Connection) -> Request | None:
         loop = asyncio.get_running_loop()
         if conn.h11.trailing_data == (b"", False):
             head_deadline = loop.time() + self._limits.idle_seconds
@@ -279,11 +281,11 @@
         headers = header_map(list(head.headers))
         conn.request_id = headers.get(REQUEST_ID_HEADER)
         if "transfer-encoding" in headers and "content-length" in headers:
-            # Two ends for one body: whoever takes the other one than we do reads the
-            # rest as a request that its sender never made.
+            # The two headers define different ends of the body (request smuggling): a
+            # proxy that uses the other one would read the rest as a separate request.
             raise PeerError("a body with both a length and a transfer encoding")
-        # h11 bounds a head only while it is incomplete; one that comes in a single
-        # read would pass at any size up to that of the read.
+        # h11 limits a head only while it is incomplete; one that arrives in a single
+        # read could have any size up to that of the read.
         n_bytes = len(head.target) + sum(len(n) + len(v) for n, v in head.headers)
         if n_bytes > self._limits.max_head_bytes:
             raise _HeadTooLargeError(
@@ -300,7 +302,7 @@
             assert isinstance(event, h11.Data)
             body += event.data
             if len(body) > self._limits.max_body_bytes:
-                raise _TooLargeError(
+                raise _BodyTooLargeError(
                     f"the body is over {self._limits.max_body_bytes} bytes"
                 )
         target = head.target.decode("ascii", "replace")
@@ -318,7 +320,7 @@
     async def _read_head(
         self, conn: Connection, idle_deadline: float
     ) -> h11.Request | None:
-        """Read a head; None when the caller closed between two exchanges."""
+        """Read a head; return None if the caller closed or stayed idle in between."""
         try:
             event = await conn.next_event(idle_deadline)
         except TimeoutError:
@@ -332,12 +334,12 @@
         return event
 
     async def _refuse(self, conn: Connection, exc: Exception) -> None:
-        """Answer a request that could not be read, as far as h11 still allows."""
+        """Answer a request that could not be read, if h11 still allows an answer."""
         if conn.h11.our_state not in (h11.IDLE, h11.SEND_RESPONSE):
             return
         if isinstance(exc, TimeoutError):
             status, kind, problem = 408, "timeout", "the request came too slowly"
-        elif isinstance(exc, _TooLargeError):
+        elif isinstance(exc, _BodyTooLargeError):
             status, kind, problem = 413, "too_large", str(exc)
         elif isinstance(exc, _HeadTooLargeError):
             status, kind, problem = 431, "too_large", str(exc)
@@ -353,22 +355,22 @@
         await conn.linger(asyncio.get_running_loop().time() + LINGER_SECONDS)
 
 
-class _TooLargeError(PeerError):
-    """A body was larger than the limit."""
+class _BodyTooLargeError(PeerError):
+    """Raised when a body exceeds the limit."""
 
 
 class _HeadTooLargeError(PeerError):
-    """A head was larger than the limit."""
+    """Raised when a head exceeds the limit."""
 
 
 class _ServerConnection(Connection):
-    """A connection that announces itself to its server."""
+    """A connection that registers with its server when it is made."""
 
     def __init__(self, server: HttpServer, max_head_bytes: int) -> None:
         super().__init__(role=h11.SERVER, max_head_bytes=max_head_bytes)
-        self._owner = server
+        self._server = server
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Keep the transport and start serving."""
+        """Store the transport and start serving."""
         super().connection_made(transport)
-        self._owner.accept(self)
+        self._server.accept(self)
--- a/tests/test_http.py
+++ b/tests/test_http.py
@@ -16,7 +16,7 @@
 
 
 class EchoHandler(Handler):
-    """Answers with the body, streams it, or cuts it, by the path."""
+    """Echoes the body whole or streamed, or cuts off the answer, by the path."""
 
     def __init__(self):
         self.release = asyncio.Event()
@@ -57,7 +57,7 @@
             assert answer.ok_value.body == b"abc"
 
     async def test_connect_refused_is_not_sent(self, echo):
-        """Nothing listens on the port. The caller may safely try another endpoint."""
+        """Nothing listens on the port. The request can safely be sent elsewhere."""
         client, address, _, server = echo
         await server.close()
         answer = await client.request(address, "GET", "/")
@@ -65,16 +65,16 @@
         assert isinstance(answer.err_value, NotSent)
 
     async def test_cut_answer_is_lost(self, echo):
-        """The peer dies in the middle of its answer. Were the part taken for the
-        whole, the caller would act on half an answer.
+        """The peer crashes in the middle of its answer. Without an error the caller
+        would treat a truncated answer as complete.
         """
         client, address, _, _ = echo
         answer = await client.request(address, "GET", "/cut")
         assert isinstance(answer.err_value, Lost)
 
-    async def test_abandoned_exchange_never_crosses(self, echo):
-        """A request is given up while its answer is still on the way. Were its
-        connection pooled, the next request would be handed that late answer.
+    async def test_late_answer_does_not_reach_the_next_request(self, echo):
+        """A request is cancelled before its answer arrives. If its connection were
+        pooled, the next request would receive that late answer.
         """
         client, address, handler, _ = echo
         task = asyncio.create_task(
@@ -88,7 +88,7 @@
         assert answer.ok_value.body == b"second"
 
     async def test_timeout_is_lost(self, echo):
-        """The peer takes the request and says nothing. It may have run."""
+        """The peer receives the request and does not answer. It may have run it."""
         client, address, _, _ = echo
         deadline = asyncio.get_running_loop().time() + 0.5
         answer = await client.request(address, "GET", "/slow", deadline=deadline)
@@ -96,16 +96,18 @@
 
 
 class TestBadInput:
-    async def test_large_body_is_refused_with_its_limit(self, echo):
-        """A caller sends more than is allowed. It is told the limit, and the memory
-        that it could take is bounded.
+    async def test_body_over_the_limit_is_refused(self, echo):
+        """A caller sends a body over the limit. It gets a 413, and the memory that one
+        request can use stays bounded.
         """
         client, address, _, _ = echo
         answer = await client.request(address, "POST", "/", body=b"x" * 5000)
         assert answer.ok_value.status == 413
 
-    async def test_garbage_gets_a_typed_error(self, echo):
-        """Something that is not HTTP connects. It gets an error, others go on."""
+    async def test_malformed_request_gets_a_400(self, echo):
+        """A client sends bytes that are not HTTP. It gets a 400, and other clients are
+        still served.
+        """
         client, address, _, _ = echo
         reader, writer = await asyncio.open_connection(address.host, address.port)
         writer.write(b"\x00\x01garbage\r\n\r\n")
@@ -119,8 +121,8 @@
 
 class TestDrain:
     async def test_drain_waits_for_the_answer_in_progress(self, echo):
-        """The process is told to stop while an answer is being made. The caller
-        still gets it whole; new connections are refused.
+        """The server is drained while an answer is in progress. The caller still gets
+        the whole answer.
         """
         client, address, handler, server = echo
         task = asyncio.create_task(client.request(address, "POST", "/slow", body=b"x"))
--- a/tests/test_routes.py
+++ b/tests/test_routes.py
@@ -1,4 +1,4 @@
-"""Routes by method and path template."""
+"""Routing by method and path template."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class FakeResponder:
-    """Keeps what was answered."""
+    """Records the answer."""
 
     async def send_json(self, status, value, headers=None):
         self.status, self.value, self.headers = status, value, headers
@@ -36,10 +36,10 @@
             ("/v1/services/a%20b/calls/k/1", {"service": "a b", "key": "k/1"}),
         ],
     )
-    async def test_finds_the_route_and_its_parameters(self, path, params):
+    async def test_route_and_parameters_are_found(self, path, params):
         assert (await answer("GET", path)).value == params
 
-    async def test_wrong_method_and_wrong_path_are_told_apart(self):
+    async def test_wrong_method_is_405_and_wrong_path_is_404(self):
         assert (await answer("POST", "/v1/models")).status == 405
         assert (await answer("POST", "/v1/models")).headers == {"allow": "GET"}
         assert (await answer("GET", "/v1/nothing")).status == 404
--- a/tests/test_streams.py
+++ b/tests/test_streams.py
@@ -41,14 +41,14 @@
         self.counters = StreamCounters()
 
     async def start(self, prompt, generation_id="g1", n_max_tokens=10_000):
-        order = GenerateOrder(
+        req = GenerateOrder(
             generation_id=generation_id,
             model="draft",
             prompt=prompt,
             n_max_tokens=n_max_tokens,
         )
         opened = await self.client.generate(
-            self.engine.address, order, deadline=deadline_in()
+            self.engine.address, req, deadline=deadline_in()
         )
         reader = opened.ok_value
         return self.stream(reader.incarnation, generation_id, reader=reader)
@@ -226,11 +226,11 @@
         tokens of that answer may belong to any generation.
         """
         rig.engine.fault("crossed")
-        order = GenerateOrder(
+        req = GenerateOrder(
             generation_id="g1", model="draft", prompt="k", n_max_tokens=5
         )
         opened = await rig.client.generate(
-            rig.engine.address, order, deadline=deadline_in()
+            rig.engine.address, req, deadline=deadline_in()
         )
         assert opened.err_value.reason == "crossed"
 
@@ -314,7 +314,7 @@
         """The node stops reading and its caller's deadline passes. The engine, which
         was sent the deadline, cancels the generation itself.
         """
-        order = GenerateOrder(
+        req = GenerateOrder(
             generation_id="g1",
             model="draft",
             prompt="n [length=9000]",
@@ -322,7 +322,7 @@
         )
         opened = await rig.client.generate(
             rig.engine.address,
-            order,
+            req,
             deadline=deadline_in(),
             request_deadline=deadline_in(0.1),
         )
@@ -336,11 +336,11 @@
             await rig.client.load(rig.engine.address, deadline=deadline_in())
         ).ok_value
         assert report.leaving_at is not None
-        order = GenerateOrder(
+        req = GenerateOrder(
             generation_id="g1", model="draft", prompt="m", n_max_tokens=5
         )
         opened = await rig.client.generate(
-            rig.engine.address, order, deadline=deadline_in()
+            rig.engine.address, req, deadline=deadline_in()
         )
         assert opened.err_value.reason == "leaving"
 
