--- a/celerytrail/engines/streams.py
+++ b/celerytrail/engines/streams.py
@@ -188,8 +188,8 @@
         """Return whether the engine cancelled the generation at its deadline.
 
         Both sides enforce the deadline, and with a small clock difference the engine
-        may do so first. Its end says only "cancelled", and without this check the
-        caller would get that as the cancellation of its draft by somebody.
+        may do so first. The end it sends is only "cancelled", and without this check
+        the caller's answer would state that somebody had cancelled the generation.
         """
         if self._finished is None or self._finished.end != "cancelled":
             return False
--- a/tests/test_streams.py
+++ b/tests/test_streams.py
@@ -118,7 +118,7 @@
 
     @pytest.mark.parametrize("fault", ["stall", "lose_reply"])
     async def test_stalled_or_cut_connection_is_resumed(self, rig, fault):
-        """The connection stalls or breaks in mid-stream while the engine goes on
+        """The connection stalls or breaks in mid-stream while the engine keeps
         generating. The caller sees a pause and then the rest.
         """
         rig.engine.fault(fault, after_writes=5, n=1, path="/generate")
