--- a/celerytrail/platform/backoff.py
+++ b/celerytrail/platform/backoff.py
@@ -1,21 +1,21 @@
-"""When to ask the platform again, and when not to ask at all; pure decisions."""
+"""Retry policy: backoff with jitter, a retry budget and a circuit breaker, no I/O."""
 
 from __future__ import annotations
 
 import random
 
 BACKOFF_FIRST_SECONDS = 0.05
-BACKOFF_MOST_SECONDS = 5.0
-RETRY_AFTER_MOST_SECONDS = 3600.0
+BACKOFF_MAX_SECONDS = 5.0
+RETRY_AFTER_MAX_SECONDS = 3600.0
 
 
 def sane_retry_after(seconds: float) -> float:
-    """Return a peer's word on when to come back, within what can be meant.
+    """Clamp a peer's Retry-After to a plausible range, in seconds.
 
-    It is handed on to callers: by a peer's fault one could be told to come back in a
-    hundred years, or before now.
+    The value is passed on to callers. A faulty peer could otherwise make them wait a
+    hundred years, or give them a negative time.
     """
-    return min(max(seconds, 0.0), RETRY_AFTER_MOST_SECONDS)
+    return min(max(seconds, 0.0), RETRY_AFTER_MAX_SECONDS)
 
 
 def full_jitter(
@@ -23,31 +23,30 @@
     n_failures: int,
     *,
     first: float = BACKOFF_FIRST_SECONDS,
-    most: float = BACKOFF_MOST_SECONDS,
+    most: float = BACKOFF_MAX_SECONDS,
 ) -> float:
-    """Return seconds to wait after the n-th failure in a row.
+    """Return the seconds to wait after the n-th consecutive failure.
 
-    The wait is drawn from nothing up to a limit that doubles. Without the drawing,
-    all nodes that saw the same outage would come back in the same moment, again and
-    again.
+    The wait is uniform between 0 and a limit that doubles with each failure. Without
+    jitter all nodes that saw the same outage would retry at the same moments.
     """
     limit = min(most, first * 2.0 ** min(n_failures - 1, 30))
     return rng.uniform(0.0, limit)
 
 
 class RetryBudget:
-    """Lets retries be only a share of the first tries.
+    """Limits retries to a share of the first tries.
 
-    Were every failed call tried three times, an overloaded platform would get three
-    times its load just when it can least bear it, and stay down. With the budget
-    spent, a failure is handed to the caller at once.
+    With three tries for every failed call, an overloaded platform would get three
+    times its load while it is overloaded, and stay down. Once the budget is spent, a
+    failure is returned to the caller at once.
 
     Parameters
     ----------
     ratio : float
-        Retries allowed for each first try.
+        Retries earned by each first try.
     n_reserve : float
-        Retries that may be saved up.
+        Most retries that can accumulate.
     """
 
     def __init__(self, *, ratio: float = 0.1, n_reserve: float = 10.0) -> None:
@@ -56,11 +55,11 @@
         self._level = n_reserve
 
     def note_first_try(self) -> None:
-        """Earn a part of a retry."""
+        """Add a first try's share to the budget."""
         self._level = min(self._level + self._ratio, self._n_reserve)
 
     def take(self) -> bool:
-        """Spend one retry, where there is one."""
+        """Spend one retry; return whether the budget had one."""
         if self._level < 1.0:
             return False
         self._level -= 1.0
@@ -68,20 +67,21 @@
 
 
 class Breaker:
-    """Keeps calls off a peer that has failed several times in a row.
+    """Circuit breaker for a peer that has failed several times in a row.
 
-    While the platform stalls without closing, each call would hold its caller for
-    the whole timeout. After some failures calls are refused at once, and one probe
-    at a time, with growing and drawn pauses, finds out when the peer is back.
+    While the platform stalls without closing connections, each call would hold its
+    caller for the whole timeout. After ``n_failures`` failures calls are refused at
+    once. One probe at a time, with growing and random pauses between probes, detects
+    when the peer is back.
 
     Parameters
     ----------
     rng : random.Random
         Draws the pauses.
     n_failures : int
-        Failures in a row that open it.
+        Consecutive failures that open it.
     most_seconds : float
-        The longest pause between two probes.
+        Longest pause between two probes.
     """
 
     def __init__(
@@ -89,47 +89,47 @@
         *,
         rng: random.Random,
         n_failures: int = 5,
-        most_seconds: float = BACKOFF_MOST_SECONDS,
+        most_seconds: float = BACKOFF_MAX_SECONDS,
     ) -> None:
         self._rng = rng
-        self._n_allowed = n_failures
+        self._failure_threshold = n_failures
         self._most_seconds = most_seconds
         self._n_failures = 0
-        self._closed_until_probe_at = 0.0
+        self._next_probe_at = 0.0
         self._is_probing = False
 
     @property
     def is_open(self) -> bool:
         """Return whether calls are being refused."""
-        return self._n_failures >= self._n_allowed
+        return self._n_failures >= self._failure_threshold
 
     def wait_seconds(self, now: float) -> float | None:
-        """Return None where a call may go, else seconds until it is worth asking."""
+        """Return None if a call may be sent, else the seconds to wait."""
         if not self.is_open:
             return None
         if self._is_probing:
             return BACKOFF_FIRST_SECONDS
-        if now < self._closed_until_probe_at:
-            return self._closed_until_probe_at - now
+        if now < self._next_probe_at:
+            return self._next_probe_at - now
         self._is_probing = True
         return None
 
-    def note_success(self) -> None:
-        """The peer answered: let all calls through."""
+    def record_success(self) -> None:
+        """Close the breaker, as the peer answered."""
         self._n_failures = 0
         self._is_probing = False
 
-    def note_failure(self, now: float) -> None:
-        """The peer failed: after enough of them, wait before the next probe."""
+    def record_failure(self, now: float) -> None:
+        """Count a failure; past the threshold, schedule the next probe."""
         self._n_failures += 1
         self._is_probing = False
-        n_past = self._n_failures - self._n_allowed + 1
-        if n_past > 0:
-            # Half of the pause is certain, so that a run of small draws can't turn
+        n_probe_failures = self._n_failures - self._failure_threshold + 1
+        if n_probe_failures > 0:
+            # Half of the pause is fixed, so that a series of small draws can't turn
             # the probes into a stream of calls.
-            most = min(self._most_seconds, 0.25 * 2.0 ** min(n_past, 30))
-            self._closed_until_probe_at = now + self._rng.uniform(most / 2, most)
+            max_pause = min(self._most_seconds, 0.25 * 2.0 ** min(n_probe_failures, 30))
+            self._next_probe_at = now + self._rng.uniform(max_pause / 2, max_pause)
 
-    def note_abandoned(self) -> None:
-        """A call ended without telling anything of the peer."""
+    def record_abandoned(self) -> None:
+        """Allow the next probe after a call that ended without an outcome."""
         self._is_probing = False
--- a/celerytrail/platform/client.py
+++ b/celerytrail/platform/client.py
@@ -1,4 +1,4 @@
-"""Exchanges with the platform: deadlines, a bounded queue, retries, typed failures."""
+"""Call the platform with deadlines, a bounded queue, retries and typed failures."""
 
 from __future__ import annotations
 
@@ -19,44 +19,44 @@
 from . import storewire
 from .backoff import Breaker, RetryBudget, full_jitter, sane_retry_after
 
-DEFAULT_RETRY_AFTER = 1.0
+DEFAULT_RETRY_AFTER_SECONDS = 1.0
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Unavailable:
-    """The platform was not reached or refused: certainly without effect.
+    """The platform was not reached or refused the call; it had no effect.
 
     Parameters
     ----------
     reason : str
-        A stable word for the cause.
+        A stable identifier of the cause.
     detail : str
-        A sentence for a person.
+        A readable description.
     retry_after : float
-        Seconds from now after which asking again is worth while.
-    is_told : bool
-        Whether the platform itself named that time; it is not asked sooner then.
+        Seconds from now after which a retry is useful.
+    is_retry_after_stated : bool
+        Whether the platform stated that time itself; there is no retry before it.
     """
 
     reason: str
     detail: str = ""
-    retry_after: float = DEFAULT_RETRY_AFTER
-    is_told: bool = False
+    retry_after: float = DEFAULT_RETRY_AFTER_SECONDS
+    is_retry_after_stated: bool = False
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class InDoubt:
-    """The write may or may not have had its effect, now or later."""
+    """The write may or may not take effect, now or later."""
 
     reason: str
     detail: str = ""
 
 
-_Tried = Result[Response, Unavailable | InDoubt]
+_ExchangeResult = Result[Response, Unavailable | InDoubt]
 
 
 class Exchanger(abc.ABC):
-    """Makes exchanges with the platform; ``deadline`` is loop time in seconds."""
+    """Calls the platform; ``deadline`` is loop time in seconds."""
 
     @abc.abstractmethod
     async def exchange(
@@ -69,16 +69,16 @@
         deadline: float,
         is_repeatable: bool,
     ) -> Result[Response, Unavailable | InDoubt]:
-        """Make an exchange; one that is not repeatable may end `InDoubt`."""
+        """Send a request; one that is not repeatable may end `InDoubt`."""
 
     @abc.abstractmethod
-    def note_bad_answer(self, kind: str, problem: str) -> None:
-        """Record that an answer could not be understood."""
+    def record_bad_answer(self, kind: str, problem: str) -> None:
+        """Record that a response could not be decoded."""
 
     async def send_transaction(
         self, body: bytes, deadline: float
     ) -> Result[Response, Unavailable | InDoubt]:
-        """Send the store a transaction, once."""
+        """Send a transaction to the store, without retries after an unclear failure."""
         return await self.exchange(
             "transact",
             "POST",
@@ -98,11 +98,11 @@
         deadline: float,
         allowed: tuple[int, ...] = (200,),
     ) -> Result[Response, Unavailable]:
-        """Make a repeatable exchange that must be answered by an allowed status."""
-        made = await self.exchange(
+        """Send a repeatable request whose response must have an allowed status."""
+        result = await self.exchange(
             kind, method, path, body=body, deadline=deadline, is_repeatable=True
         )
-        match made:
+        match result:
             case Ok(res) if res.status in allowed:
                 return Ok(res)
             case Ok(res):
@@ -114,31 +114,31 @@
 
 
 class PlatformClient(Exchanger):
-    """Exchanges with the platform.
+    """Calls the platform over HTTP.
 
     Parameters
     ----------
     addresses : tuple of Address
-        Where the platform listens; the next one is taken after a failure.
+        Where the platform listens; a failure moves on to the next address.
     http : HttpClient
-        Makes the exchanges.
+        Sends the requests.
     clock : Clock
-        Its monotonic time must be the loop's.
+        Its monotonic time must be the event loop's.
     rng : random.Random
-        Draws the waits before retries.
+        Draws the pauses before retries.
     metrics : Metrics or None
-        Where calls are counted, by kind and outcome.
+        Counts calls by kind and outcome.
     n_in_flight : int
-        Exchanges at one time.
+        Requests in flight at a time.
     n_waiting : int
-        Calls that may wait for their turn; more are refused at once, so that a slow
-        platform can't fill this process's memory.
+        Calls that may wait for a slot. Further ones are refused at once, so that a
+        slow platform can't exhaust this process's memory.
     try_seconds : float
-        The longest that one try may take, in seconds.
+        Timeout of one try.
     budget : RetryBudget or None
-        Bounds retries; a share of the first tries by default.
+        Limits retries; by default to a share of the first tries.
     breaker : Breaker or None
-        Keeps calls off a platform that fails; the usual one by default.
+        Stops calls while the platform fails; by default with the default limits.
     """
 
     def __init__(
@@ -156,14 +156,14 @@
         breaker: Breaker | None = None,
     ) -> None:
         self._addresses = addresses
-        self._n_moves = 0
+        self._n_failovers = 0
         self._http = http
         self._clock = clock
         self._rng = rng
         self._metrics = metrics
         self._slots = asyncio.Semaphore(n_in_flight)
         self._n_waiting = 0
-        self._most_waiting = n_waiting
+        self._max_waiting = n_waiting
         self._try_seconds = try_seconds
         self._budget = budget or RetryBudget()
         self._breaker = breaker or Breaker(rng=rng)
@@ -171,11 +171,11 @@
     @property
     def address(self) -> Address:
         """Return the address that the next try goes to."""
-        return self._addresses[self._n_moves % len(self._addresses)]
+        return self._addresses[self._n_failovers % len(self._addresses)]
 
     @property
     def is_down(self) -> bool:
-        """Return whether the platform has lately failed again and again."""
+        """Return whether the circuit breaker is open after repeated failures."""
         return self._breaker.is_open
 
     async def exchange(
@@ -188,15 +188,15 @@
         deadline: float,
         is_repeatable: bool,
     ) -> Result[Response, Unavailable | InDoubt]:
-        """Make an exchange, with retries as far as they are safe and in budget."""
-        began_at = self._clock.monotonic()
-        made = await self._exchange(
+        """Send a request, with retries where they are safe and within the budget."""
+        started_at = self._clock.monotonic()
+        result = await self._exchange(
             kind, method, path, body, deadline, is_repeatable=is_repeatable
         )
         if self._metrics is not None:
-            seconds = self._clock.monotonic() - began_at
+            seconds = self._clock.monotonic() - started_at
             self._metrics.observe("platform_call", seconds, kind=kind)
-        return made
+        return result
 
     async def _exchange(
         self,
@@ -208,33 +208,33 @@
         *,
         is_repeatable: bool,
     ) -> Result[Response, Unavailable | InDoubt]:
-        if self._n_waiting >= self._most_waiting:
-            return self._end(kind, Err(Unavailable(reason="queue_full")))
+        if self._n_waiting >= self._max_waiting:
+            return self._count_outcome(kind, Err(Unavailable(reason="queue_full")))
         self._n_waiting += 1
         try:
             async with asyncio.timeout_at(deadline):
                 await self._slots.acquire()
         except TimeoutError:
-            return self._end(kind, Err(Unavailable(reason="queue_deadline")))
+            return self._count_outcome(kind, Err(Unavailable(reason="queue_deadline")))
         finally:
             self._n_waiting -= 1
 
-        def attempt(until: float) -> Awaitable[_Tried]:
-            return self._try(method, path, body, until, is_repeatable)
+        def attempt(try_deadline: float) -> Awaitable[_ExchangeResult]:
+            return self._try_once(method, path, body, try_deadline, is_repeatable)
 
         try:
-            return self._end(kind, await self._with_retries(attempt, deadline))
+            return self._count_outcome(kind, await self._retry_loop(attempt, deadline))
         finally:
             self._slots.release()
 
-    def note_bad_answer(self, kind: str, problem: str) -> None:
-        """Record that an answer could not be understood."""
+    def record_bad_answer(self, kind: str, problem: str) -> None:
+        """Log and count a response that could not be decoded."""
         log_message("platform:bad_answer", kind=kind, problem=problem)
         if self._metrics is not None:
             self._metrics.count("bad_input", peer="platform", problem=kind)
 
-    async def _with_retries(
-        self, attempt: Callable[[float], Awaitable[_Tried]], deadline: float
+    async def _retry_loop(
+        self, attempt: Callable[[float], Awaitable[_ExchangeResult]], deadline: float
     ) -> Result[Response, Unavailable | InDoubt]:
         self._budget.note_first_try()
         n_failures = 0
@@ -242,67 +242,74 @@
             wait = self._breaker.wait_seconds(self._clock.monotonic())
             if wait is not None:
                 return Err(Unavailable(reason="platform_down", retry_after=wait))
-            until = min(deadline, self._clock.monotonic() + self._try_seconds)
-            tried = await attempt(until)
-            if not isinstance(tried, Err):
-                return Ok(tried.ok_value)
-            failure = tried.err_value
-            if isinstance(failure, InDoubt) or failure.is_told:
+            try_deadline = min(deadline, self._clock.monotonic() + self._try_seconds)
+            result = await attempt(try_deadline)
+            if not isinstance(result, Err):
+                return Ok(result.ok_value)
+            failure = result.err_value
+            if isinstance(failure, InDoubt) or failure.is_retry_after_stated:
                 return Err(failure)
             n_failures += 1
             pause = full_jitter(self._rng, n_failures)
-            is_late = self._clock.monotonic() + pause >= deadline
-            if is_late or not self._budget.take():
+            is_past_deadline = self._clock.monotonic() + pause >= deadline
+            if is_past_deadline or not self._budget.take():
                 return Err(failure)
             await asyncio.sleep(pause)
 
-    async def _try(
-        self, method: str, path: str, body: bytes, until: float, is_repeatable: bool
+    async def _try_once(
+        self,
+        method: str,
+        path: str,
+        body: bytes,
+        try_deadline: float,
+        is_repeatable: bool,
     ) -> Result[Response, Unavailable | InDoubt]:
-        """Make one try and note what it tells of the platform's health."""
+        """Try once and record the outcome in the circuit breaker."""
         try:
-            made = await self._http.request(
-                self.address, method, path, body=body, deadline=until
+            result = await self._http.request(
+                self.address, method, path, body=body, deadline=try_deadline
             )
         except BaseException:
-            self._breaker.note_abandoned()
+            self._breaker.record_abandoned()
             raise
-        if isinstance(made, Ok) and made.ok_value.status < 500:
-            self._breaker.note_success()
-            return Ok(made.ok_value)
-        self._breaker.note_failure(self._clock.monotonic())
-        self._n_moves += 1
-        if isinstance(made, Ok):
-            return Err(_failure_of_answer(made.ok_value, is_repeatable))
-        error = made.err_value
+        if isinstance(result, Ok) and result.ok_value.status < 500:
+            self._breaker.record_success()
+            return Ok(result.ok_value)
+        self._breaker.record_failure(self._clock.monotonic())
+        self._n_failovers += 1
+        if isinstance(result, Ok):
+            return Err(_failure_of_response(result.ok_value, is_repeatable))
+        error = result.err_value
         if isinstance(error, NotSent) or is_repeatable:
             return Err(Unavailable(reason=error.reason, detail=error.detail))
         return Err(InDoubt(reason=error.reason, detail=error.detail))
 
-    def _end(
-        self, kind: str, made: Result[Response, Unavailable | InDoubt]
+    def _count_outcome(
+        self, kind: str, result: Result[Response, Unavailable | InDoubt]
     ) -> Result[Response, Unavailable | InDoubt]:
         if self._metrics is not None:
             outcome = "answered"
-            if isinstance(made, Err):
-                is_doubt = isinstance(made.err_value, InDoubt)
-                outcome = "in_doubt" if is_doubt else made.err_value.reason
+            if isinstance(result, Err):
+                is_in_doubt = isinstance(result.err_value, InDoubt)
+                outcome = "in_doubt" if is_in_doubt else result.err_value.reason
             self._metrics.count("platform_calls", kind=kind, outcome=outcome)
-        return made
+        return result
 
 
-def _failure_of_answer(res: Response, is_repeatable: bool) -> Unavailable | InDoubt:
+def _failure_of_response(res: Response, is_repeatable: bool) -> Unavailable | InDoubt:
     reason = f"status_{res.status}"
-    if res.status in storewire.NOT_DONE:
+    if res.status in storewire.NOT_APPLIED_STATUSES:
         retry_after = _retry_after(res)
         if retry_after is None:
             return Unavailable(reason=reason)
         return Unavailable(
-            reason=reason, retry_after=sane_retry_after(retry_after), is_told=True
+            reason=reason,
+            retry_after=sane_retry_after(retry_after),
+            is_retry_after_stated=True,
         )
     if is_repeatable:
         return Unavailable(reason=reason)
-    # Any other 5xx may come from something in between, after the write went through.
+    # Any other 5xx may come from an intermediary after the write was applied.
     return InDoubt(reason=reason)
 
 
--- a/celerytrail/platform/objects.py
+++ b/celerytrail/platform/objects.py
@@ -1,4 +1,4 @@
-"""The platform's object store: its interface and its client."""
+"""The platform's object store: its interface and its HTTP client."""
 
 from __future__ import annotations
 
@@ -11,23 +11,23 @@
 
 
 class ObjectStore(abc.ABC):
-    """Keeps bytes by name; ``deadline`` is monotonic, in seconds.
+    """Stores bytes by name; ``deadline`` is monotonic, in seconds.
 
-    Names are meant to be made from the content, so that putting an object twice does
-    no harm and a put whose reply was lost may simply be repeated.
+    Names should be derived from the content. Putting an object twice then does no
+    harm, and a put whose reply was lost can be repeated.
     """
 
     @abc.abstractmethod
     async def put(
         self, name: str, data: bytes, deadline: float
     ) -> Result[None, Unavailable]:
-        """Keep an object; after a failure it may or may not be kept."""
+        """Store an object; after a failure it may or may not be stored."""
 
     @abc.abstractmethod
     async def get(
         self, name: str, deadline: float
     ) -> Result[bytes | None, Unavailable]:
-        """Return an object, or None where there is none of that name."""
+        """Return an object, or None if there is none with that name."""
 
 
 class HttpObjectStore(ObjectStore):
@@ -39,8 +39,8 @@
     async def put(
         self, name: str, data: bytes, deadline: float
     ) -> Result[None, Unavailable]:
-        """Keep an object."""
-        made = await self._exchanger.fetch(
+        """Store an object."""
+        result = await self._exchanger.fetch(
             "put_object",
             "PUT",
             storewire.put_object_path(name),
@@ -48,20 +48,20 @@
             deadline=deadline,
             allowed=(200, 204),
         )
-        return made.map(lambda _: None)
+        return result.map(lambda _: None)
 
     async def get(
         self, name: str, deadline: float
     ) -> Result[bytes | None, Unavailable]:
-        """Return an object, or None."""
-        made = await self._exchanger.fetch(
+        """Return an object, or None if there is none with that name."""
+        result = await self._exchanger.fetch(
             "get_object",
             "GET",
             storewire.get_object_path(name),
             deadline=deadline,
             allowed=(200, 404),
         )
-        if isinstance(made, Err):
-            return Err(made.err_value)
-        res = made.ok_value
+        if isinstance(result, Err):
+            return Err(result.err_value)
+        res = result.ok_value
         return Ok(None if res.status == 404 else res.body)
--- a/celerytrail/platform/storewire.py
+++ b/celerytrail/platform/storewire.py
@@ -1,6 +1,6 @@
-"""The metadata store's calls as bytes: paths, transactions, rows and pages.
+"""Encoding of the metadata store's calls: paths, transactions, rows and pages.
 
-Nothing here decides; whoever calls knows what an answer means.
+The functions only encode and decode; the meaning of a response is left to the caller.
 """
 
 from __future__ import annotations
@@ -19,20 +19,20 @@
 
 OK = 200
 GONE = 410
-# The rows as they stand do not meet the conditions.
+# The current versions of the rows don't match the transaction's conditions.
 CONFLICT = 412
-# Nothing was done: too many calls, or the store is away.
-NOT_DONE = (429, 503)
+# No change was applied: too many calls, or the store is unavailable.
+NOT_APPLIED_STATUSES = (429, 503)
 
 TRANSACT_PATH = "/api/rows-tx"
-# Rows in one answer at most; more are asked for by further calls.
+# Most rows in one response; further rows take further calls.
 MAX_ROWS = 500
 
-# The tables that others write.
+# Tables that the operator and the endpoints write.
 CONFIG_TABLE = "op"
 CONFIG_KEY = "config"
 REGISTRATION_TABLE = "servers"
-# A row for each node, written by the nodes: where it talks to other nodes.
+# A row for each node with its peer address, written by the nodes.
 NODES_TABLE = "nodes"
 
 _DECODE_ERRORS = (
@@ -48,7 +48,7 @@
 def range_path(
     table: str, *, start: str = "", end: str | None = None, limit: int | None = None
 ) -> str:
-    """Return the path that reads rows in order of keys; ``end`` is left out."""
+    """Return the path that reads rows in key order; ``end`` is exclusive."""
     query: dict[str, str | int] = {"table": table, "part": "", "from": start}
     if end is not None:
         query["to"] = end
@@ -58,13 +58,13 @@
 
 
 def changes_path(table: str, after: int, wait_seconds: float) -> str:
-    """Return the path that asks what changed after a version, and waits for it."""
+    """Return the path of a long poll for the changes after a version."""
     query = {"table": table, "after": after, "wait-ms": int(wait_seconds * 1_000)}
     return f"/api/rows-feed?{urlencode(query)}"
 
 
 def put_object_path(name: str) -> str:
-    """Return the path that keeps an object; a name is one segment."""
+    """Return the path that stores an object; the name is one path segment."""
     return f"/api/blob-put/{quote(name, safe='')}"
 
 
@@ -82,25 +82,25 @@
 ) -> bytes:
     """Return the body of a transaction over rows of one table.
 
-    ``versions`` are those that rows must have, 0 for none; a transaction without any
-    is applied as it is.
+    ``versions`` are the versions that rows must have, 0 for a row that must not exist.
+    Without any, the transaction is unconditional.
     """
-    entries = {
+    changes = {
         "expected-revision": [
-            {**_place(table, key), "ver": version}
+            {**_row_id(table, key), "ver": version}
             for key, version in (versions or {}).items()
         ],
         "writes": [
-            {**_place(table, key), "value": base64.b64encode(value).decode("ascii")}
+            {**_row_id(table, key), "value": base64.b64encode(value).decode("ascii")}
             for key, value in (writes or {}).items()
         ],
-        "remove": [_place(table, key) for key in removed],
+        "remove": [_row_id(table, key) for key in removed],
     }
-    return msgspec.json.encode(entries)
+    return msgspec.json.encode(changes)
 
 
 def decode_page(res: Response) -> Result[tuple[Changes, bool], str]:
-    """Return the rows of an answer, and whether there are more."""
+    """Decode a page of rows, and whether more follow."""
     try:
         raw = msgspec.json.decode(res.body)
         rows = tuple(_decode_row(row) for row in raw["rows"])
@@ -111,7 +111,7 @@
 
 
 def decode_conflict(res: Response) -> Result[tuple[Row, ...], str]:
-    """Return the rows that stood in the way of a transaction, as they are now."""
+    """Decode the current state of the rows that a refused transaction checked."""
     try:
         raw = msgspec.json.decode(res.body)
         return Ok(tuple(_decode_row(row) for row in raw["rows"]))
@@ -120,14 +120,14 @@
 
 
 def decode_version(res: Response) -> Result[int, str]:
-    """Return the version that a transaction gave the rows that it wrote."""
+    """Decode the version that a transaction gave to the rows that it wrote."""
     try:
         return Ok(int(msgspec.json.decode(res.body)["ver"]))
     except _DECODE_ERRORS as exc:
         return Err(f"the answer can't be read: {exc!r}")
 
 
-def _place(table: str, key: str) -> dict[str, str]:
+def _row_id(table: str, key: str) -> dict[str, str]:
     return {"table": table, "part": "", "key": key}
 
 
@@ -138,6 +138,7 @@
     try:
         value = base64.b64decode(raw.get("value") or "", validate=True)
     except (binascii.Error, ValueError, TypeError):
-        # Bytes that can't be read are the row's own fault; its reader says so.
+        # Invalid base64 affects this row only: the value is left empty, and the row's
+        # decoder reports it.
         value = b""
     return Row(key=raw["key"], value=value, version=version)
--- a/celerytrail/platform/table.py
+++ b/celerytrail/platform/table.py
@@ -1,4 +1,4 @@
-"""The platform's transactional table: its interface and its client."""
+"""The platform's transactional table: its interface and its HTTP client."""
 
 from __future__ import annotations
 
@@ -16,10 +16,10 @@
 from .client import Exchanger, InDoubt, Unavailable
 
 ABSENT = 0
-# The table that holds all rows of the product, in one part, as a transaction over
-# several parts takes twice as long and is not allowed everywhere.
+# Holds all rows of the product in one partition: a transaction over several
+# partitions takes twice as long and isn't allowed everywhere.
 PRODUCT_TABLE = "celerytrail"
-# Behind every key that a prefix begins: keys are text in byte order.
+# Sorts after every key with a given prefix: keys are text in byte order.
 LAST_CHARACTER = "\U0010ffff"
 
 
@@ -30,11 +30,11 @@
     Parameters
     ----------
     key : str
-        Its key.
+        The row's key.
     value : object
-        What JSON can hold. Rows come from outside: whoever reads one checks it.
+        Any JSON value. Rows come from outside the process, so readers validate it.
     version : int
-        Rises with each change; 0 stands for a row that does not exist.
+        Rises with each change; 0 for a row that does not exist.
     """
 
     key: str
@@ -44,7 +44,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Check:
-    """A condition: the row must stand at this version; 0 for "must not exist"."""
+    """A condition: the row must have this version; 0 for "must not exist"."""
 
     key: str
     version: int
@@ -60,7 +60,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Transaction:
-    """Changes that are applied all or not at all, if every check holds."""
+    """Changes that are applied atomically if every check holds."""
 
     checks: tuple[Check, ...] = ()
     puts: tuple[Put, ...] = ()
@@ -69,14 +69,14 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Committed:
-    """The transaction was applied; the versions of the rows it put, by key."""
+    """The transaction was applied; holds the versions of the rows it put, by key."""
 
     versions: Mapping[str, int]
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Conflict:
-    """Nothing was applied, as these rows stood in the way."""
+    """Nothing was applied, as these rows don't have the checked versions."""
 
     rows: tuple[Row, ...]
 
@@ -105,16 +105,16 @@
     async def scan(
         self, prefix: str, *, after: str = "", limit: int = 100, deadline: float
     ) -> Result[tuple[Row, ...], Unavailable]:
-        """Return rows in the order of their keys, from beyond ``after``."""
+        """Return rows in key order, starting after the key ``after``."""
 
 
 class HttpTable(Table):
-    """The table over HTTP; values are kept as JSON.
+    """The table over HTTP; values are stored as JSON.
 
     Parameters
     ----------
     exchanger : Exchanger
-        Makes the exchanges.
+        Sends the requests.
     """
 
     def __init__(self, *, exchanger: Exchanger) -> None:
@@ -132,16 +132,16 @@
             },
             removed=transaction.deletes,
         )
-        made = await self._exchanger.send_transaction(body, deadline)
-        if isinstance(made, Err):
-            return Err(made.err_value)
-        res = made.ok_value
+        result = await self._exchanger.send_transaction(body, deadline)
+        if isinstance(result, Err):
+            return Err(result.err_value)
+        res = result.ok_value
         match res.status:
             case storewire.OK:
                 return self._committed(transaction, res)
             case storewire.CONFLICT:
                 return self._conflict(transaction, res)
-            case status if status in storewire.NOT_DONE:
+            case status if status in storewire.NOT_APPLIED_STATUSES:
                 return Err(Unavailable(reason="overload"))
             case status if 400 <= status < 500:
                 return Err(Unavailable(reason="rejected", detail=f"status {status}"))
@@ -150,46 +150,46 @@
     def _committed(self, transaction: Transaction, res: Response) -> TransactResult:
         decoded = storewire.decode_version(res)
         if isinstance(decoded, Err):
-            return self._unreadable(decoded.err_value)
+            return self._bad_answer(decoded.err_value)
         versions = {put.key: decoded.ok_value for put in transaction.puts}
         return Ok(Committed(versions=versions))
 
     def _conflict(self, transaction: Transaction, res: Response) -> TransactResult:
-        """Return which rows stood in the way; the answer holds all checked ones."""
+        """Return the mismatched rows; the response holds all checked ones."""
         decoded = storewire.decode_conflict(res)
         if isinstance(decoded, Err):
-            return self._unreadable(decoded.err_value)
+            return self._bad_answer(decoded.err_value)
         try:
             rows = {row.key: _row(row) for row in decoded.ok_value}
         except msgspec.DecodeError as exc:
-            return self._unreadable(str(exc))
-        found = [
+            return self._bad_answer(str(exc))
+        mismatched = [
             rows.get(check.key, Row(key=check.key))
             for check in transaction.checks
             if rows.get(check.key, Row(key=check.key)).version != check.version
         ]
-        return Err(Conflict(rows=tuple(found)))
+        return Err(Conflict(rows=tuple(mismatched)))
 
-    def _unreadable(self, problem: str) -> TransactResult:
-        self._exchanger.note_bad_answer("transact", problem)
+    def _bad_answer(self, problem: str) -> TransactResult:
+        self._exchanger.record_bad_answer("transact", problem)
         return Err(InDoubt(reason="bad_answer", detail=problem))
 
     async def read(
         self, keys: Sequence[str], deadline: float
     ) -> Result[Rows, Unavailable]:
-        """Return the rows that exist, by key; each as of a moment of its own."""
-        found: dict[str, Row] = {}
+        """Return the rows that exist, by key; they aren't one snapshot."""
+        rows_by_key: dict[str, Row] = {}
         reads = [self._range("read", key, key + "\0", 1, deadline) for key in keys]
         for read in await asyncio.gather(*reads):
             if isinstance(read, Err):
                 return Err(read.err_value)
-            found.update((row.key, row) for row in read.ok_value)
-        return Ok(found)
+            rows_by_key.update((row.key, row) for row in read.ok_value)
+        return Ok(rows_by_key)
 
     async def scan(
         self, prefix: str, *, after: str = "", limit: int = 100, deadline: float
     ) -> Result[tuple[Row, ...], Unavailable]:
-        """Return rows in the order of their keys."""
+        """Return rows in key order."""
         start = max(prefix, after + "\0" if after else "")
         return await self._range(
             "scan",
@@ -203,22 +203,22 @@
         self, kind: str, start: str, end: str, limit: int, deadline: float
     ) -> Result[tuple[Row, ...], Unavailable]:
         path = storewire.range_path(PRODUCT_TABLE, start=start, end=end, limit=limit)
-        made = await self._exchanger.fetch(kind, "GET", path, deadline=deadline)
-        if isinstance(made, Err):
-            return Err(made.err_value)
-        page = storewire.decode_page(made.ok_value)
+        result = await self._exchanger.fetch(kind, "GET", path, deadline=deadline)
+        if isinstance(result, Err):
+            return Err(result.err_value)
+        page = storewire.decode_page(result.ok_value)
         try:
             if isinstance(page, Ok):
                 return Ok(tuple(map(_row, page.ok_value[0].rows)))
             problem = page.err_value
         except msgspec.DecodeError as exc:
             problem = str(exc)
-        self._exchanger.note_bad_answer(kind, problem)
+        self._exchanger.record_bad_answer(kind, problem)
         return Err(Unavailable(reason="bad_answer", detail=problem))
 
 
 def _row(row: rowsource.Row) -> Row:
-    """Return a row with its value decoded; raises `msgspec.DecodeError`."""
+    """Decode a row's value; raises `msgspec.DecodeError`."""
     if row.value is None:
         return Row(key=row.key)
     return Row(key=row.key, value=msgspec.json.decode(row.value), version=row.version)
