--- a/tests/test_platform_grouping.py
+++ b/tests/test_platform_grouping.py
@@ -1,4 +1,4 @@
-"""Group commit: many callers in one exchange, and none pays for another."""
+"""Group commit: many callers in one request, with conflicts kept apart."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 @pytest.mark.looptime
 class TestGroupCommit:
-    async def test_many_claims_are_one_transaction(self):
+    async def test_concurrent_claims_are_one_transaction(self):
         inner = FakeTable()
         table = GroupedTable(inner=inner)
         results = await asyncio.gather(
@@ -33,10 +33,10 @@
         assert all(f"k{n}" in r.ok_value.versions for n, r in enumerate(results))
         assert inner.n_transactions == 1
 
-    async def test_a_conflict_fails_nobody_else(self):
-        """Two callers use keys that are taken while forty others commit in the same
-        moment. Were the group refused as a whole, the forty would be told of a
-        conflict that is not theirs.
+    async def test_conflict_fails_only_its_own_transaction(self):
+        """Two callers use keys that are taken while forty others commit at the same
+        time. If the whole group were refused, the forty would get a conflict that
+        they didn't cause.
         """
         inner = FakeTable()
         await inner.transact(put_if("k3", "old"), soon())
@@ -45,21 +45,21 @@
         results = await asyncio.gather(
             *(table.transact(put_if(f"k{n}", n), soon()) for n in range(42))
         )
-        losers = {n: r.err_value for n, r in enumerate(results) if r.is_err()}
-        assert set(losers) == {3, 7}
-        assert all(isinstance(loser, Conflict) for loser in losers.values())
-        assert [row.key for row in losers[3].rows] == ["k3"]
+        conflicts = {n: r.err_value for n, r in enumerate(results) if r.is_err()}
+        assert set(conflicts) == {3, 7}
+        assert all(isinstance(conflict, Conflict) for conflict in conflicts.values())
+        assert [row.key for row in conflicts[3].rows] == ["k3"]
         assert inner.n_transactions == 4
 
-    async def test_same_key_in_one_moment_is_taken_once(self):
-        """One key is claimed twice in the same moment. One caller gets it."""
+    async def test_concurrent_claims_of_one_key_succeed_once(self):
+        """Five callers claim one key at the same time. Only one gets it."""
         table = GroupedTable(inner=FakeTable())
         results = await asyncio.gather(
             *(table.transact(put_if("k", n), soon()) for n in range(5))
         )
         assert [r.is_ok() for r in results] == [True, False, False, False, False]
 
-    async def test_lost_reply_puts_all_in_doubt(self):
+    async def test_lost_reply_leaves_whole_group_in_doubt(self):
         inner = FakeTable()
         inner.lose_replies = 1
         table = GroupedTable(inner=inner)
@@ -68,10 +68,10 @@
         )
         assert all(isinstance(r.err_value, InDoubt) for r in results)
 
-    async def test_told_not_sent_is_never_sent(self):
-        """The platform stands still, so later writes wait in the queue. Those whose
-        deadline passes there are told that they had no effect; when the platform
-        goes on, they must not be sent after all.
+    async def test_request_reported_as_not_sent_is_never_sent(self):
+        """The platform stalls, so later writes wait in the queue. Those whose deadline
+        passes there are reported as without effect. They must not be sent when the
+        platform recovers.
         """
         inner = FakeTable()
         inner.gate = asyncio.Event()
