--- a/celerytrail/platform/nodefile.py
+++ b/celerytrail/platform/nodefile.py
@@ -1,6 +1,7 @@
-"""The platform's settings file: decoded once into a node's settings.
+"""Decode the platform's settings file into a node's settings.
 
-Unknown fields are ignored. All that is wrong is reported together, with its place.
+Unknown fields are ignored. All invalid fields are reported together, with their
+places.
 """
 
 from __future__ import annotations
@@ -20,38 +21,39 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class RelaySettings:
-    """What a node on the platform is told at its start.
+    """Settings that the platform gives a node at its start.
 
     Parameters
     ----------
     node : str
-        The VM's name.
+        The name of the VM.
     failure_domain, region : str
-        Where it runs.
+        Where the node runs.
     callers, readiness, peers, directory : Address or None
-        Where it takes callers, readiness checks, other nodes, and address questions.
+        Listen addresses for callers, readiness checks, other nodes and address
+        requests.
     peer_ports : tuple of int
-        First and last port that are free for traffic between nodes.
+        First and last port available for traffic between nodes.
     seeds : tuple of Address
         Peer addresses of a few nodes; may be stale.
     store : Address or None
         The platform's metadata store.
     config_seconds : float
-        After so long a configuration that was acknowledged is in force here.
+        Bound from the acknowledgement of a configuration until it is in force here.
     revoke_seconds : float
-        After so long a key that was taken away lets nothing through.
+        Bound from the revocation of a key until no request with it is accepted.
     is_revocation_strict : bool
-        Whether that holds also for a node that is out of touch.
+        Whether that bound also applies to a node that can't reach the store.
     drain_seconds : float
-        How long an endpoint serves after it said that it leaves.
+        How long an endpoint serves requests after it announced that it leaves.
     grace_seconds : float
-        How long a node has from SIGTERM until it is killed.
+        Time from SIGTERM until the node is killed.
     retry_ratio, retry_window_seconds, retry_slack : float
-        The retry budget of all nodes together.
+        The shared retry budget of all nodes.
     max_address_seconds : float
-        How long callers may keep an address answer.
+        How long callers may cache an answer with addresses.
     memory_bytes : int
-        The process is killed beyond that.
+        Memory limit, beyond which the process is killed.
     is_first_start : bool
         Whether the whole system starts for the first time.
     """
@@ -121,7 +123,7 @@
 
 
 class _Reader:
-    """Reads typed fields of one table and collects what is wrong with them."""
+    """Reads typed fields of one JSON object and collects findings."""
 
     def __init__(
         self,
@@ -133,7 +135,7 @@
         self.findings: list[Finding] = [] if findings is None else findings
         self._place = place
 
-    def _bad(self, name: str, problem: str) -> None:
+    def _add_finding(self, name: str, problem: str) -> None:
         self.findings.append(Finding(place=f"{self._place}{name}", problem=problem))
 
     def table(self, name: str) -> dict[str, Any]:
@@ -142,21 +144,21 @@
             return {}
         if isinstance(value, dict):
             return value
-        self._bad(name, "should be an object")
+        self._add_finding(name, "should be an object")
         return {}
 
     def text(self, name: str) -> str:
         value = self.raw.get(name)
         if isinstance(value, str) and value:
             return value
-        self._bad(name, "should be a text that is not empty")
+        self._add_finding(name, "should be a text that is not empty")
         return ""
 
     def number(self, name: str, default: float) -> float:
         value = self.raw.get(name, default)
         if isinstance(value, int | float) and not isinstance(value, bool):
             return float(value)
-        self._bad(name, f"should be a number, is {value!r}")
+        self._add_finding(name, f"should be a number, is {value!r}")
         return default
 
     def address(self, name: str) -> Address | None:
@@ -166,21 +168,21 @@
         try:
             return Address.parse(value)
         except (ValueError, AttributeError, TypeError):
-            self._bad(name, f"should be IP:PORT, is {value!r}")
+            self._add_finding(name, f"should be IP:PORT, is {value!r}")
             return None
 
     def addresses(self, name: str) -> tuple[Address, ...]:
         value = self.raw.get(name) or []
         if not isinstance(value, list):
-            self._bad(name, "should be a list of IP:PORT")
+            self._add_finding(name, "should be a list of IP:PORT")
             return ()
-        found = []
-        for number, text in enumerate(value):
+        addresses = []
+        for index, text in enumerate(value):
             try:
-                found.append(Address.parse(text))
+                addresses.append(Address.parse(text))
             except (ValueError, AttributeError, TypeError):
-                self._bad(f"{name}.{number}", f"should be IP:PORT, is {text!r}")
-        return tuple(found)
+                self._add_finding(f"{name}.{index}", f"should be IP:PORT, is {text!r}")
+        return tuple(addresses)
 
     def ports(self, name: str) -> tuple[int, int]:
         value = self.raw.get(name)
@@ -190,5 +192,5 @@
             and all(isinstance(port, int) for port in value)
         ):
             return value[0], value[1]
-        self._bad(name, "should be two port numbers")
+        self._add_finding(name, "should be two port numbers")
         return 0, 0
--- a/celerytrail/platform/operatorconfig.py
+++ b/celerytrail/platform/operatorconfig.py
@@ -1,4 +1,4 @@
-"""The operator's configuration as the platform's table holds it."""
+"""Decode the operator's configuration from the platform's table."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 MS = 0.001
 BYTES_PER_MEGABIT = 125_000.0
 
-_KINDS = {
+_ROUTE_KINDS = {
     "safe": RouteKind.IDEMPOTENT,
     "unsafe": RouteKind.AT_MOST_ONCE,
     "streaming": RouteKind.STREAM,
@@ -43,9 +43,9 @@
     service: str | None = None
     traffic_split: list[_Share] | None = None
     timeout_ms: float = 30_000.0
-    # The time within which an answer, or the first event of a stream, is on time.
+    # Latency target of an answer, or of the first event of a stream.
     target_latency_ms: float = 1_000.0
-    # The longest pause between events that is on time.
+    # Target for the longest gap between events of a stream.
     gap_target_ms: float = 0.0
     max_attempts: int = 1
     priority: int = 5
@@ -128,7 +128,7 @@
 
 
 def _route(raw: _Route) -> Route:
-    if raw.route_type not in _KINDS:
+    if raw.route_type not in _ROUTE_KINDS:
         raise ValueError(f"route {raw.name}: unknown kind {raw.route_type!r}")
     shares = [
         ServiceShare(service=share.service, weight=share.weight)
@@ -142,7 +142,7 @@
         name=raw.name,
         host=raw.hostname.lower(),
         prefix=raw.prefix,
-        kind=_KINDS[raw.route_type],
+        kind=_ROUTE_KINDS[raw.route_type],
         shares=tuple(shares),
         timeout_seconds=raw.timeout_ms * MS,
         target_seconds=raw.target_latency_ms * MS,
--- a/celerytrail/platform/wire.py
+++ b/celerytrail/platform/wire.py
@@ -1,4 +1,4 @@
-"""Headers, paths and bodies that callers and endpoints speak; nothing is decided."""
+"""Headers, paths and bodies of the platform's HTTP interfaces, without decisions."""
 
 from __future__ import annotations
 
@@ -16,9 +16,9 @@
 
 MS = 0.001
 
-# The echoed id of an attempt, in lower case.
+# The id of an attempt, which the answer echoes; header names are in lower case.
 ATTEMPT_HEADER = "x-attempt-id"
-# The endpoint's proof that the answer is its own.
+# The endpoint's seal, which shows that the answer is its own.
 SEAL_HEADER = "x-response-seal"
 
 _BUDGET = "x-time-budget-ms"
@@ -44,8 +44,8 @@
         "expect",
     }
 )
-# Headers that only the system may set; what a caller sent in them is dropped.
-_OURS = frozenset(
+# Headers that only the system may set; a caller's values for them are dropped.
+_SYSTEM_HEADERS = frozenset(
     {
         "authorization",
         _BUDGET,
@@ -66,29 +66,29 @@
 REPORT_PATH = "/api/report"
 MOVE_PATH = "/api/kv-move"
 
-_PART = re.compile(r"([0-9a-fA-F]+):(\d+)")
+_PREFIX_PART = re.compile(r"([0-9a-fA-F]+):(\d+)")
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class ForwardFacts:
-    """What the system adds to a request that it passes on.
+    """Metadata that the system adds to a request that it forwards.
 
     Parameters
     ----------
     endpoint : str
-        The id of the endpoint that is meant; any other one refuses.
+        The id of the target endpoint; any other endpoint refuses the request.
     budget_seconds : float
-        What is left of the caller's time.
+        What remains of the caller's time budget.
     organisation : str or None
-        Who holds the caller's key.
+        The organisation that holds the caller's key.
     priority : int or None
-        How urgent an engine takes it, 0 first.
+        The priority at the engine; 0 is the most urgent.
     backup : Address or None
-        The engine that is to get a copy of the run as it grows.
+        The engine to which the run's memory is replicated as it grows.
     resume_from : str or None
-        The name of a copy that the run goes on from.
+        The name of the copy from which the run resumes.
     last_event_id : str or None
-        The last event that the caller has.
+        The id of the last event that the caller received.
     """
 
     endpoint: str
@@ -102,14 +102,14 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Moved:
-    """A finished copy of a run: its name and the events made so far."""
+    """A completed copy of a run: its name and the number of events made so far."""
 
     handle: str
     n_events: int
 
 
 def caller_facts(req: Request) -> CallerFacts:
-    """Decode what a request's head says; what can't be read counts as not stated."""
+    """Decode the caller's headers; values that can't be decoded count as missing."""
     headers = req.headers
     scheme, _, key = headers.get("authorization", "").partition(" ")
     prompt, _, output = headers.get("x-token-count", "").partition(",")
@@ -124,19 +124,23 @@
         n_hinted_tokens=_count(hint) if hint else None,
         parts=tuple(
             (part, int(n_tokens))
-            for part, n_tokens in _PART.findall(headers.get("x-prompt-prefix", ""))
+            for part, n_tokens in _PREFIX_PART.findall(
+                headers.get("x-prompt-prefix", "")
+            )
         ),
     )
 
 
 def forward_headers(req: Request, facts: ForwardFacts) -> list[tuple[str, str]]:
-    """Return the headers for an endpoint: the caller's own, and the system's."""
-    named = {
+    """Return the headers for an endpoint: the caller's and the system's."""
+    connection_headers = {
         name.strip().lower()
         for name in req.headers.get("connection", "").split(",")
         if name.strip()
     }
-    dropped = _HOP_BY_HOP | _OURS | named - {ATTEMPT_HEADER, "host"}
+    dropped = (
+        _HOP_BY_HOP | _SYSTEM_HEADERS | connection_headers - {ATTEMPT_HEADER, "host"}
+    )
     pairs = [
         (name.decode("ascii"), value.decode("latin-1"))
         for name, value in req.raw_headers
@@ -156,35 +160,37 @@
 
 
 def copy_name(address: Address, handle: str) -> str:
-    """Return the name by which a run goes on from a copy."""
+    """Return the name by which a run resumes from a copy."""
     return f"{address}/{handle}"
 
 
 def answer_headers(headers: Mapping[str, str]) -> dict[str, str]:
-    """Return an endpoint's headers as the caller gets them."""
-    named = {name.strip().lower() for name in headers.get("connection", "").split(",")}
-    dropped = _HOP_BY_HOP | named
+    """Return the headers of an endpoint's answer that are passed to the caller."""
+    connection_headers = {
+        name.strip().lower() for name in headers.get("connection", "").split(",")
+    }
+    dropped = _HOP_BY_HOP | connection_headers
     return {name: value for name, value in headers.items() if name not in dropped}
 
 
 def is_not_run(status: int, headers: Mapping[str, str]) -> bool:
-    """Return whether an endpoint says that it did not run the request."""
+    """Return whether an endpoint reports that it did not run the request."""
     return _NOT_RUN in headers or status == 421
 
 
 def is_own_answer(headers: Mapping[str, str]) -> bool:
-    """Return whether an endpoint vouches for the answer, and it can be passed on."""
+    """Return whether an answer has an endpoint's seal and can be passed on."""
     return SEAL_HEADER in headers and "content-encoding" not in headers
 
 
 class _Report(msgspec.Struct, rename="kebab"):
     queued: int = 0
     in_flight: int = 0
-    # Memory that can't yield, and all of it, in tokens.
+    # Memory that can't be reclaimed, and the total, in tokens.
     kv_used: int = 0
     kv_total: int = 0
     state: str = "ready"
-    # The page spells this one with an underscore.
+    # The platform's specification spells this field with an underscore.
     leaves_in_ms: float | None = msgspec.field(default=None, name="leaves_ms")
 
 
@@ -208,12 +214,12 @@
 
 
 def encode_move(attempt_id: str, target: Address, is_last: bool) -> bytes:
-    """Encode the order to copy a run to another engine, and to stop it at last."""
+    """Encode the order to copy a run to another engine; the last copy stops the run."""
     return msgspec.json.encode({"id": attempt_id, "to": str(target), "last": is_last})
 
 
 def decode_moved(body: bytes) -> Result[Moved, str]:
-    """Decode the answer to a finished move."""
+    """Decode the answer to a completed move."""
     try:
         raw = msgspec.json.decode(body)
         return Ok(Moved(handle=str(raw["handle"]), n_events=int(raw.get("created", 0))))
@@ -229,17 +235,17 @@
 
 
 def free_copy_path(handle: str) -> str:
-    """Return the path that frees a copy at both ends, called at the source."""
+    """Return the path that frees a copy at both engines; the source is called."""
     return f"/api/kv-handle/{quote(handle, safe='')}"
 
 
 def asked_domain(req: Request) -> str:
-    """Return the failure domain that a caller who asks for addresses is in."""
+    """Return the failure domain of a caller who requests addresses."""
     return parse_qs(req.query).get("zone", [""])[0]
 
 
 def encode_addresses(addresses: list[Address], seconds: float) -> bytes:
-    """Encode the answer to a caller who asks for addresses."""
+    """Encode the answer to a caller's request for addresses, valid for ``seconds``."""
     return msgspec.json.encode(
         {"addresses": [str(address) for address in addresses], "ttl-s": seconds}
     )
