--- a/celerytrail/platform/__init__.py
+++ b/celerytrail/platform/__init__.py
@@ -1,1 +1,1 @@
-"""Talk to the platform: table, object store, VM list, weight store."""
+"""Adapter to the platform: its store, table, object store, VM list and HTTP formats."""
--- a/celerytrail/platform/noderows.py
+++ b/celerytrail/platform/noderows.py
@@ -1,4 +1,4 @@
-"""The rows by which nodes find one another: one each, written at start."""
+"""Node discovery through the store: each node writes a row at its start."""
 
 from __future__ import annotations
 
@@ -14,25 +14,25 @@
 from .vms import node_address
 
 STORE_SECONDS = 1.0
-# Between two tries while the store is away, in seconds, with jitter.
+# Mean pause between tries while the store is unavailable; jitter is added.
 RETRY_SECONDS = 1.0
 
 
 class NodeRows:
-    """Enters a node in the store, and reads who else is there.
+    """Writes a node's row in the store and reads the rows of the others.
 
-    The row of a dead node stays; membership asks it and finds nobody.
+    The row of a dead node stays; the membership protocol detects that it is dead.
 
     Parameters
     ----------
     rows : RowSource
         The store's tables.
     caller, peer : Address
-        Where the node takes callers, which names its row, and other nodes.
+        Where the node accepts callers and other nodes; the first is its row's key.
     rng : random.Random
-        For jitter.
+        Draws the jitter of the retries.
     is_first_start : bool
-        Whether its row is not expected to stand already.
+        Whether the row is expected not to exist yet, so that it is written first.
     """
 
     def __init__(
@@ -51,9 +51,9 @@
         self._is_first_start = is_first_start
 
     async def enter(self) -> list[Address]:
-        """Write the row and read the others, trying until both are done.
+        """Write the row and read all rows, retrying until both succeed.
 
-        A row that stands from before a restart is not written again.
+        A row that is still there from before a restart is not written again.
         """
         while True:
             found: Result[Changes, StoreUnavailable | StoreInDoubt]
@@ -62,7 +62,8 @@
             else:
                 found = await self._read()
             if isinstance(found, Ok) and not self._is_entered(found.ok_value):
-                # Read again: of two nodes that enter at once one must see the other.
+                # Read again after the write, so that of two nodes that enter
+                # concurrently at least one sees the other.
                 found = await self._put_and_read()
             if isinstance(found, Ok):
                 return _addresses(found.ok_value)
@@ -85,12 +86,12 @@
         return await self._read()
 
     async def leave(self) -> None:
-        """Remove the row; where the store is away it stays, which does no harm."""
-        dropped = await self._rows.drop(
+        """Remove the row; without the store it stays, which does no harm."""
+        result = await self._rows.drop(
             storewire.NODES_TABLE, self._key, self._deadline()
         )
-        if isinstance(dropped, Err):
-            log_message("nodes:row_left", row=self._key, reason=str(dropped.err_value))
+        if isinstance(result, Err):
+            log_message("nodes:row_left", row=self._key, reason=str(result.err_value))
 
     async def _read(self) -> Result[Changes, StoreUnavailable]:
         return await self._rows.read(storewire.NODES_TABLE, self._deadline())
--- a/celerytrail/platform/registrations.py
+++ b/celerytrail/platform/registrations.py
@@ -1,4 +1,4 @@
-"""Endpoints' own rows in the platform's table."""
+"""Decode the registrations that endpoints write in the platform's table."""
 
 from __future__ import annotations
 
@@ -21,14 +21,14 @@
     zone: Text
     slots: Annotated[int, msgspec.Meta(ge=0)]
     state: Literal["ready", "draining"]
-    # How much longer it is slow after its start.
+    # Remaining time for which the endpoint is slow after its start.
     cold_remaining_ms: float = 0.0
-    # Unix milliseconds of the start; another value is another process.
+    # Unix time of the start in milliseconds; a new value means a new process.
     born: int = 0
 
 
 def decode_registration(endpoint: str, value: bytes) -> Result[Registration, str]:
-    """Decode one row; one that can't be read names no endpoint."""
+    """Decode one row; an invalid row registers no endpoint."""
     try:
         raw = msgspec.json.decode(value, type=_Row)
         address = Address.parse(raw.address)
--- a/celerytrail/platform/vms.py
+++ b/celerytrail/platform/vms.py
@@ -1,4 +1,4 @@
-"""The VMs of endpoints and nodes by their rows in the platform's store, which lag."""
+"""The VMs of endpoints and nodes, from rows of the platform's store, which lag."""
 
 from __future__ import annotations
 
@@ -18,16 +18,16 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Vm:
-    """A VM as its row says.
+    """A VM as described by its row.
 
     Parameters
     ----------
     vm : str
-        Its name.
+        The VM's name.
     state : {"live", "leaving"}
-        Whether it is about to be taken away.
+        Whether the VM is about to be removed.
     node : Address or None
-        Where the node of an entry VM talks to other nodes.
+        The peer address of an entry VM's node.
     """
 
     vm: str
@@ -40,11 +40,11 @@
 
     @abc.abstractmethod
     async def fetch(self, deadline: float) -> Result[tuple[Vm, ...], StoreUnavailable]:
-        """Return the VMs as far as the platform knows; always some time old."""
+        """Return the VMs that the platform lists; the list always lags."""
 
 
 class StoreVmList(VmList):
-    """The VMs that have entered themselves in the store.
+    """Lists the VMs whose endpoint or node has written a row in the store.
 
     Parameters
     ----------
@@ -56,7 +56,7 @@
         self._rows = rows
 
     async def fetch(self, deadline: float) -> Result[tuple[Vm, ...], StoreUnavailable]:
-        """Return the VMs; a row that can't be read is left out, the others hold."""
+        """Return the VMs; rows that can't be decoded are skipped."""
         endpoints = await self._rows.read(storewire.REGISTRATION_TABLE, deadline)
         if isinstance(endpoints, Err):
             return Err(endpoints.err_value)
@@ -87,7 +87,7 @@
 
 
 def node_address(row: Row) -> Address | None:
-    """Return the peer address in a node's row, None where it can't be read."""
+    """Return the peer address in a node's row, or None if it is invalid."""
     try:
         return Address.parse((row.value or b"").decode("ascii"))
     except (ValueError, UnicodeDecodeError) as exc:
@@ -96,5 +96,5 @@
 
 
 def node_addresses(vms: tuple[Vm, ...]) -> list[Address]:
-    """Return where the listed nodes talk to other nodes."""
+    """Return the peer addresses of the listed nodes."""
     return [vm.node for vm in vms if vm.node is not None]
--- a/tests/test_platform_client.py
+++ b/tests/test_platform_client.py
@@ -1,4 +1,4 @@
-"""The platform client against the stand-in, on real sockets."""
+"""The platform client against the stand-in server, over real sockets."""
 
 from __future__ import annotations
 
@@ -32,14 +32,14 @@
 LOOPBACK = Address(host="127.0.0.1", port=0)
 
 
-class Garbage(Handler):
-    """Answers every call as some web server would."""
+class UnrelatedWebServer(Handler):
+    """Answers every call with a page of an unrelated web server."""
 
     async def handle(self, req, res):
         await res.send(200, b"<html>It works!</html>")
 
 
-def client_of(address):
+def make_client(address):
     return PlatformClient(
         addresses=(address,),
         http=HttpClient(),
@@ -72,15 +72,15 @@
 
 
 class TestTable:
-    async def test_checks_guard_a_whole_transaction(self, platform):
+    async def test_failed_check_rejects_whole_transaction(self, platform):
         table = HttpTable(exchanger=platform[1])
         first = await table.transact(put_if("a", {"n": 1}, 0), soon())
         version = first.ok_value.versions["a"]
-        both = Transaction(
+        transaction = Transaction(
             checks=(Check(key="a", version=0),),
             puts=(Put(key="b", value=1), Put(key="a", value=2)),
         )
-        conflict = (await table.transact(both, soon())).err_value
+        conflict = (await table.transact(transaction, soon())).err_value
         assert isinstance(conflict, Conflict)
         assert conflict.rows[0].value == {"n": 1}
         rows = (await table.read(["a", "b"], soon())).ok_value
@@ -90,29 +90,29 @@
         assert [(row.key, row.value) for row in scanned] == [("a", 3)]
 
     async def test_lost_reply_of_a_write_is_in_doubt(self, platform):
-        """The platform applies a write and its answer is lost on the way. Were this
-        called a failure, a filing that was claimed would pass for unclaimed.
+        """The platform applies a write and its response is lost. Reported as a failure,
+        a filing that was claimed would count as unclaimed.
         """
         standin, exchanger = platform
         standin.faults.add(Fault(name="lose_reply", n=1))
         table = HttpTable(exchanger=exchanger)
-        answer = await table.transact(put_if("a", 1, 0), soon())
-        assert isinstance(answer.err_value, InDoubt)
+        result = await table.transact(put_if("a", 1, 0), soon())
+        assert isinstance(result.err_value, InDoubt)
         assert "a" in (await table.read(["a"], soon())).ok_value
 
     async def test_outage_is_certainly_without_effect(self, platform):
-        """The platform refuses. The caller may be told that nothing was done."""
+        """The platform refuses a write, which is reported as without effect."""
         standin, exchanger = platform
         standin.faults.add(Fault(name="outage"))
         table = HttpTable(exchanger=exchanger)
-        answer = await table.transact(put_if("a", 1, 0), soon())
-        assert isinstance(answer.err_value, Unavailable)
+        result = await table.transact(put_if("a", 1, 0), soon())
+        assert isinstance(result.err_value, Unavailable)
         assert standin.store.keys(PRODUCT_TABLE) == []
 
-    async def test_long_outage_is_refused_at_once_and_ends(self, platform):
-        """The platform stalls without closing connections. After a few calls the
-        others are refused at once instead of each waiting; when the platform is
-        back, a probe finds out and all calls go again.
+    async def test_calls_fail_at_once_in_long_outage_and_recover(self, platform):
+        """The platform stalls without closing connections. After a few failures,
+        calls are refused at once instead of each waiting. When the platform is back,
+        a probe succeeds and all calls are sent again.
         """
         standin, exchanger = platform
         standin.faults.add(Fault(name="stall"))
@@ -129,21 +129,21 @@
             await asyncio.sleep(0.01)
         assert not exchanger.is_down
 
-    async def test_only_the_rows_in_the_way_are_a_conflict(self, platform):
+    async def test_conflict_holds_only_mismatched_rows(self, platform):
         """The store's answer to a refused transaction holds every row that it checked.
-        Were all of them taken to stand in the way, a transaction that was sent along
-        with the refused one would be given up for nothing.
+        If all of them counted as conflicts, a transaction that was grouped with the
+        refused one would fail needlessly.
         """
         table = HttpTable(exchanger=platform[1])
         await table.transact(put_if("a", 1, 0), soon())
-        both = Transaction(
+        transaction = Transaction(
             checks=(Check(key="a", version=0), Check(key="b", version=0)),
             puts=(Put(key="b", value=1),),
         )
-        conflict = (await table.transact(both, soon())).err_value
+        conflict = (await table.transact(transaction, soon())).err_value
         assert [row.key for row in conflict.rows] == ["a"]
 
-    async def test_a_prefix_is_read_in_pages(self, platform):
+    async def test_prefix_is_scanned_in_pages(self, platform):
         table = HttpTable(exchanger=platform[1])
         keys = ["p/1", "p/2", "p/3", "q/1"]
         puts = tuple(Put(key=key, value=key) for key in keys)
@@ -152,13 +152,13 @@
         rest = await table.scan("p/", after=first[-1].key, limit=2, deadline=soon())
         assert [row.key for row in (*first, *rest.ok_value)] == keys[:3]
 
-    async def test_too_many_calls_are_certainly_without_effect(self):
-        """All nodes share the store's rate. A write beyond it is refused, and the
-        caller may be told that nothing was done.
+    async def test_rate_limited_write_is_certainly_without_effect(self):
+        """All nodes share the store's rate limit. A write beyond it is refused and
+        reported as without effect.
         """
         standin = PlatformStandin(writes_per_second=1.0)
         address = await standin.server.start(LOOPBACK)
-        exchanger = client_of(address)
+        exchanger = make_client(address)
         table = HttpTable(exchanger=exchanger)
         assert (await table.transact(put_if("a", 1, 0), soon())).is_ok()
         refused = (await table.transact(put_if("b", 1, 0), soon())).err_value
@@ -166,13 +166,13 @@
         assert standin.store.keys(PRODUCT_TABLE) == ["a"]
         await standin.server.close()
 
-    async def test_garbage_is_no_answer(self):
-        """What answers on the platform's port is not the platform. A write to it is
-        in doubt, never taken for committed.
+    async def test_undecodable_response_leaves_write_in_doubt(self):
+        """An unrelated server answers on the platform's port. A write to it is in
+        doubt and is never reported as committed.
         """
-        server = HttpServer(handler=Garbage())
+        server = HttpServer(handler=UnrelatedWebServer())
         address = await server.start(LOOPBACK)
-        exchanger = client_of(address)
+        exchanger = make_client(address)
         table = HttpTable(exchanger=exchanger)
         written = (await table.transact(put_if("a", 1, 0), soon())).err_value
         assert isinstance(written, InDoubt)
@@ -181,9 +181,9 @@
         assert read.reason == "bad_answer"
         await server.close()
 
-    async def test_a_call_that_the_store_rejects_has_no_effect(self, platform):
+    async def test_rejected_call_returns_its_status(self, platform):
         exchanger = platform[1]
-        made = await exchanger.exchange(
+        result = await exchanger.exchange(
             "transact",
             "POST",
             storewire.TRANSACT_PATH,
@@ -191,21 +191,21 @@
             deadline=soon(),
             is_repeatable=False,
         )
-        assert made.ok_value.status == 400
+        assert result.ok_value.status == 400
 
 
-class TestOtherPeers:
-    async def test_objects(self, platform):
+class TestObjectsAndVms:
+    async def test_object_is_stored_and_fetched(self, platform):
         store = HttpObjectStore(exchanger=platform[1])
         assert (await store.get("sections/x", soon())).ok_value is None
         await store.put("sections/x", b"\x00bytes", soon())
         assert (await store.get("sections/x", soon())).ok_value == b"\x00bytes"
 
-    async def test_bad_vm_is_dropped_alone(self, platform):
-        """One row of the store can't be read. The others are used all the same."""
+    async def test_invalid_vm_row_is_skipped(self, platform):
+        """Two rows of the store are invalid. The others are still used."""
         standin, exchanger = platform
-        desk = Address(host="10.0.0.1", port=80)
-        row = worker_row("desk", desk, "draining")
+        worker_address = Address(host="10.0.0.1", port=80)
+        row = worker_row("desk", worker_address, "draining")
         standin.store.put("servers", "v1", row)
         standin.store.put("servers", "torn", {"service": 7})
         standin.store.put("nodes", "10.0.0.2:80", b"10.0.0.2:81")
@@ -220,58 +220,56 @@
 
 
 class TestNodeRows:
-    def rows_of(self, exchanger, number, **more):
+    def node_rows(self, exchanger, number, **kwargs):
         return NodeRows(
             rows=PlatformRows(exchanger=exchanger),
             caller=Address(host="10.0.0.1", port=number),
             peer=Address(host="10.0.0.1", port=100 + number),
             rng=random.Random(1),
-            **more,
+            **kwargs,
         )
 
-    async def test_nodes_find_one_another_and_leave_no_row(self, platform):
+    async def test_nodes_discover_each_other_and_remove_their_rows(self, platform):
         standin, exchanger = platform
-        one, two = self.rows_of(exchanger, 1), self.rows_of(exchanger, 2)
-        await one.enter()
-        assert [found.port for found in await two.enter()] == [101, 102]
-        await one.leave()
+        first, second = self.node_rows(exchanger, 1), self.node_rows(exchanger, 2)
+        await first.enter()
+        assert [found.port for found in await second.enter()] == [101, 102]
+        await first.leave()
         assert standin.store.keys("nodes") == ["10.0.0.1:2"]
 
     @pytest.mark.parametrize("is_first_start", [True, False])
-    async def test_two_nodes_that_enter_at_once_find_one_another(
+    async def test_nodes_entering_concurrently_discover_each_other(
         self, platform, is_first_start
     ):
-        """Both start at the same moment. Were each to read before it writes, neither
-        would know of the other.
+        """Both nodes start at the same time. If each read before its write, neither
+        would discover the other.
         """
         _, exchanger = platform
         found = await asyncio.gather(
             *(
-                self.rows_of(exchanger, number, is_first_start=is_first_start).enter()
+                self.node_rows(exchanger, number, is_first_start=is_first_start).enter()
                 for number in (1, 2)
             )
         )
         assert any(len(addresses) == 2 for addresses in found)
 
-    async def test_a_restart_does_not_write_the_row_again(self, platform):
-        """Hundreds of nodes come back at once after a loss of power. Their rows stand,
-        and each needless write is a priced call in the store's worst second.
+    async def test_restart_does_not_rewrite_the_row(self, platform):
+        """Hundreds of nodes restart at once after a power failure. Their rows still
+        exist, and each needless write is a priced call at the store's peak load.
         """
         standin, exchanger = platform
-        await self.rows_of(exchanger, 1).enter()
+        await self.node_rows(exchanger, 1).enter()
         version = standin.store.rows.version
-        assert len(await self.rows_of(exchanger, 1).enter()) == 1
+        assert len(await self.node_rows(exchanger, 1).enter()) == 1
         assert standin.store.rows.version == version
 
-    async def test_a_store_that_is_away_at_start_is_asked_until_it_is_back(
-        self, platform
-    ):
-        """The store is down while a node starts. The node enters itself later; else
-        the nodes that start after it would never hear of it.
+    async def test_enter_retries_until_the_store_is_available(self, platform):
+        """The store is down while a node starts. The node must write its row later, or
+        nodes that start after it would never discover it.
         """
         standin, exchanger = platform
         standin.faults.add(Fault(name="outage"))
-        entering = asyncio.create_task(self.rows_of(exchanger, 1).enter())
+        entering = asyncio.create_task(self.node_rows(exchanger, 1).enter())
         await asyncio.sleep(0.1)
         assert not entering.done()
         standin.faults.clear()
@@ -281,9 +279,9 @@
 
 
 class TestBounds:
-    async def test_queue_is_bounded(self, platform):
-        """The platform is slow and calls pile up. Past the bound they are refused
-        at once, certainly without effect, so memory stays bounded.
+    async def test_waiting_calls_are_bounded(self, platform):
+        """The platform is slow and calls queue up. Beyond the limit they are refused
+        at once and without effect, so memory stays bounded.
         """
         standin, _ = platform
         standin.faults.add(Fault(name="freeze"))
