--- a/celerytrail/operators/store.py
+++ b/celerytrail/operators/store.py
@@ -1,4 +1,7 @@
-"""Keeping the document: accepted by compare-and-swap, and only said so when known."""
+"""Loads the document and accepts new versions by compare-and-swap.
+
+A version is reported as accepted only once that is certain.
+"""
 
 from __future__ import annotations
 
@@ -50,30 +53,32 @@
     "Loaded",
 ]
 
-PAUSE_SECONDS = 0.2
-N_CACHED = 4
-N_STALE_READS = 3
+MEAN_BACKOFF_SECONDS = 0.2
+MAX_CACHED_TREES = 4
+N_BASE_READS = 3
 
 
-FindSpare = Callable[[str], Awaitable[bytes | None]]
+FetchFromNode = Callable[[str], Awaitable[bytes | None]]
 
 
 class DocumentStore:
-    """Loads and accepts documents; deadlines are monotonic, in seconds.
+    """Loads documents and accepts new versions.
+
+    Deadlines are monotonic, in seconds.
 
     Parameters
     ----------
     table : Table
-        Holds the head row and a row for each version.
+        Holds the head row and one history row for each version.
     objects : ObjectStore
         Holds the content-addressed objects.
     clock : Clock
-        Gives the time of acceptance and the time left.
+        Wall time stamps accepted versions; monotonic time bounds the retries.
     rng : random.Random
-        Draws pauses between tries.
+        Adds jitter to the backoff between attempts.
     find_spare : callable or None
-        Asked for an object that the platform lost or damaged; a node that has the
-        version in force can still give it.
+        Fetches an object that the platform has lost or damaged from a node. Nodes
+        hold the objects of the version in force in memory.
     """
 
     def __init__(
@@ -83,9 +88,9 @@
         objects: ObjectStore,
         clock: Clock,
         rng: random.Random,
-        find_spare: FindSpare | None = None,
+        find_spare: FetchFromNode | None = None,
     ) -> None:
-        self._find_spare = find_spare
+        self._fetch_from_node = find_spare
         self._table = table
         self._objects = objects
         self._clock = clock
@@ -95,7 +100,7 @@
     async def load(
         self, deadline: float, version: int | None = None
     ) -> Result[Loaded, LoadError]:
-        """Return the newest version as far as a read shows, or an older one."""
+        """Return the newest version that a read shows, or the given version."""
         key = HEAD_KEY if version is None else history_key(version)
         read = await self._read_heads([key], deadline)
         if isinstance(read, Err):
@@ -112,7 +117,10 @@
     async def history(
         self, deadline: float, *, before: int | None = None, limit: int = 50
     ) -> Result[tuple[Head, ...], LoadError]:
-        """Return versions, newest first, from below ``before`` (None: the newest)."""
+        """Return versions below ``before``, newest first.
+
+        With None, the list starts with the newest version.
+        """
         if before is None:
             read = await self._read_heads([HEAD_KEY], deadline)
             if isinstance(read, Err):
@@ -130,15 +138,15 @@
         )
         if isinstance(rows, Err):
             return Err(rows.err_value)
-        heads = []
+        history = []
         for row in rows.ok_value:
             head = read_head(row.value, row.key)
             if isinstance(head, Err):
-                # One row that can't be read must not hide the others.
+                # An unreadable row must not hide the other versions.
                 log_message("configuration:bad_row", finding=str(head.err_value))
                 continue
-            heads.append(head.ok_value)
-        return Ok(tuple(reversed(heads)))
+            history.append(head.ok_value)
+        return Ok(tuple(reversed(history)))
 
     async def accept(
         self,
@@ -150,26 +158,26 @@
         note: str,
         deadline: float,
     ) -> Result[Head, AcceptError]:
-        """Make a document the next version after ``base_version``.
+        """Accept a document as the version after ``base_version``.
 
-        The order is what makes a console safe to kill at any step: objects first,
-        which nobody reads before a head names them, then head and history row in one
-        transaction. Asking again with the same operation id is safe and settles what
-        an earlier try left in doubt.
+        The order of the writes makes a console crash safe at any step: first the
+        objects, which nobody reads before a head refers to them, then the head and
+        history rows in one transaction. A retry with the same operation id is safe
+        and resolves an earlier attempt that ended in doubt.
         """
         validated = validate(document)
         if isinstance(validated, Err):
             return Err(Invalid(findings=validated.err_value))
-        based = await self._read_base(base_version, operation_id, deadline)
-        if isinstance(based, Err):
-            return Err(based.err_value)
-        base = based.ok_value
-        if base.settled is not None:
-            return Ok(base.settled)
+        base_read = await self._read_base(base_version, operation_id, deadline)
+        if isinstance(base_read, Err):
+            return Err(base_read.err_value)
+        base = base_read.ok_value
+        if base.accepted is not None:
+            return Ok(base.accepted)
         tree = Tree.of(document)
-        stored = await self._put_objects(tree, base.head, deadline)
-        if isinstance(stored, Err):
-            return Err(stored.err_value)
+        put_result = await self._put_objects(tree, base.head, deadline)
+        if isinstance(put_result, Err):
+            return Err(put_result.err_value)
         head = Head(
             version=base_version + 1,
             root=tree.root,
@@ -180,40 +188,44 @@
         )
         committed = await self._commit(head, base.row_version, deadline)
         if isinstance(committed, Ok):
-            self._remember(tree)
+            self._cache_tree(tree)
         return committed
 
     async def _read_base(
         self, base_version: int, operation_id: str, deadline: float
-    ) -> Result[_Base, AcceptError]:
-        """Read the head row and compare it with the operator's base version."""
+    ) -> Result[_BaseState, AcceptError]:
+        """Read the head row and compare it with the operator's base version.
+
+        Reads again, up to `N_BASE_READS` reads in all, while the result is stale.
+        """
         next_key = history_key(base_version + 1)
-        for _ in range(N_STALE_READS):
+        for _ in range(N_BASE_READS):
             read = await self._table.read([HEAD_KEY, next_key], deadline)
             if isinstance(read, Err):
                 return Err(read.err_value)
             rows = read.ok_value
-            heads = _heads_of(rows.values())
-            if isinstance(heads, Err):
-                return Err(heads.err_value)
-            head = heads.ok_value.get(HEAD_KEY)
-            following = heads.ok_value.get(next_key)
-            if following is not None:
-                if following.operation_id == operation_id:
-                    return Ok(_Base(settled=following))
-                return Err(await self._conflict(head or following, deadline))
+            parsed = _parse_heads(rows.values())
+            if isinstance(parsed, Err):
+                return Err(parsed.err_value)
+            head = parsed.ok_value.get(HEAD_KEY)
+            successor = parsed.ok_value.get(next_key)
+            if successor is not None:
+                if successor.operation_id == operation_id:
+                    return Ok(_BaseState(accepted=successor))
+                return Err(await self._conflict(head or successor, deadline))
             version = head.version if head is not None else 0
             if version == base_version:
                 row_version = rows[HEAD_KEY].version if head is not None else 0
-                return Ok(_Base(head=head, row_version=row_version))
-            # The operator's page shows a version that this read does not know yet,
-            # or its two rows are of different ages: the read was served stale.
-            await asyncio.sleep(self._pause())
+                return Ok(_BaseState(head=head, row_version=row_version))
+            # The read is stale: it is older than the version on the operator's page,
+            # or its two rows are of different ages.
+            await asyncio.sleep(self._draw_backoff())
         return Err(Unavailable(reason="stale_read"))
 
     async def _commit(
         self, head: Head, row_version: int, deadline: float
     ) -> Result[Head, AcceptError]:
+        """Write the head and history rows, retrying while the outcome is in doubt."""
         key = history_key(head.version)
         transaction = Transaction(
             checks=(
@@ -224,53 +236,54 @@
         )
         is_in_doubt = False
         while True:
-            made = await self._table.transact(transaction, deadline)
-            match made:
+            outcome = await self._table.transact(transaction, deadline)
+            match outcome:
                 case Ok(Committed()):
                     return Ok(head)
                 case Err(tables.Conflict() as conflict):
-                    return await self._settle(head, conflict.rows, deadline)
+                    return await self._resolve_conflict(head, conflict.rows, deadline)
                 case Err(Unavailable() as failure) if not is_in_doubt:
                     return Err(failure)
                 case Err((Unavailable() | InDoubt()) as failure):
-                    # Reading the old head back would prove nothing, as the lost write
-                    # may still be on its way. The same write again proves it either
-                    # way: only one of the two can find the base version in place.
+                    # Reading back the old head would prove nothing, as the first
+                    # write may still arrive. Repeating the write resolves the doubt,
+                    # since only one of the two can match the base version.
                     is_in_doubt = True
                     detail = failure.reason
-            pause = self._pause()
-            if self._clock.monotonic() + pause >= deadline:
+            backoff_seconds = self._draw_backoff()
+            if self._clock.monotonic() + backoff_seconds >= deadline:
                 return Err(AcceptInDoubt(operation_id=head.operation_id, detail=detail))
-            await asyncio.sleep(pause)
+            await asyncio.sleep(backoff_seconds)
 
-    async def _settle(
+    async def _resolve_conflict(
         self, head: Head, rows: Iterable[Row], deadline: float
     ) -> Result[Head, AcceptError]:
-        """Tell by the operation id whose write took the place of the base version."""
+        """Find out by its operation id which write followed the base version."""
         key = history_key(head.version)
-        known = _heads_of(rows)
-        while isinstance(known, Ok) and key not in known.ok_value:
+        heads = _parse_heads(rows)
+        while isinstance(heads, Ok) and key not in heads.ok_value:
             read = await self._read_heads([HEAD_KEY, key], deadline)
             if isinstance(read, Err):
                 operation_id = head.operation_id
                 return Err(
                     AcceptInDoubt(operation_id=operation_id, detail=str(read.err_value))
                 )
-            known = read
+            heads = read
             if key not in read.ok_value:
                 if self._clock.monotonic() >= deadline:
                     return Err(AcceptInDoubt(operation_id=head.operation_id))
-                await asyncio.sleep(self._pause())
-        if isinstance(known, Err):
-            return Err(known.err_value)
-        following = known.ok_value[key]
-        if following.operation_id == head.operation_id:
-            return Ok(following)
+                await asyncio.sleep(self._draw_backoff())
+        if isinstance(heads, Err):
+            return Err(heads.err_value)
+        successor = heads.ok_value[key]
+        if successor.operation_id == head.operation_id:
+            return Ok(successor)
         return Err(
-            await self._conflict(known.ok_value.get(HEAD_KEY, following), deadline)
+            await self._conflict(heads.ok_value.get(HEAD_KEY, successor), deadline)
         )
 
     async def _conflict(self, head: Head, deadline: float) -> Conflict:
+        """Return the conflict with a newer version, with its document if it loads."""
         tree = await self._load_tree(head.root, deadline)
         document = tree.ok_value.document() if isinstance(tree, Ok) else None
         return Conflict(head=head, document=document)
@@ -281,29 +294,29 @@
         read = await self._table.read(keys, deadline)
         if isinstance(read, Err):
             return Err(read.err_value)
-        return _heads_of(read.ok_value.values())
+        return _parse_heads(read.ok_value.values())
 
     async def _put_objects(
         self, tree: Tree, base: Head | None, deadline: float
     ) -> Result[None, LoadError]:
-        """Put the objects that the base version does not have already."""
-        known: set[str] = set()
+        """Write the objects that the base version does not contain."""
+        existing: set[str] = set()
         if base is not None:
             loaded = await self._load_tree(base.root, deadline)
             if isinstance(loaded, Ok):
-                known.update(loaded.ok_value.digests())
+                existing.update(loaded.ok_value.digests())
 
         async def put(digest: str) -> Result[None, Unavailable]:
             data = tree.get(digest)
             assert data is not None
             return await self._objects.put(object_name(digest), data, deadline)
 
-        missing = [digest for digest in tree.digests() if digest not in known]
+        missing = [digest for digest in tree.digests() if digest not in existing]
         for start in range(0, len(missing), N_PARALLEL):
             batch = missing[start : start + N_PARALLEL]
-            for made in await asyncio.gather(*(put(digest) for digest in batch)):
-                if isinstance(made, Err):
-                    return Err(made.err_value)
+            for outcome in await asyncio.gather(*(put(digest) for digest in batch)):
+                if isinstance(outcome, Err):
+                    return Err(outcome.err_value)
         return Ok(None)
 
     async def _load_tree(
@@ -313,33 +326,39 @@
         if cached is not None:
             return Ok(cached)
         loader = TreeLoader(
-            get=lambda digest: self._get(digest, deadline),
+            get=lambda digest: self._get_object(digest, deadline),
             held=tuple(self._trees.values()),
         )
-        made = await loader.load(root_digest)
-        if isinstance(made, Err):
-            failure = made.err_value
+        loaded = await loader.load(root_digest)
+        if isinstance(loaded, Err):
+            failure = loaded.err_value
             if isinstance(failure, Misfit):
                 return Err(Damaged(findings=failure.findings))
             return Err(failure)
-        tree = made.ok_value
-        self._remember(tree)
+        tree = loaded.ok_value
+        self._cache_tree(tree)
         return Ok(tree)
 
-    async def _get(self, digest: str, deadline: float) -> Result[bytes, LoadError]:
+    async def _get_object(
+        self, digest: str, deadline: float
+    ) -> Result[bytes, LoadError]:
+        """Return an object from the object store, or else from a node."""
         name = object_name(digest)
         got = await self._objects.get(name, deadline)
         data = got.ok_value if isinstance(got, Ok) else None
         if data is not None and digest_of(data) == digest:
             return Ok(data)
-        spare = await self._find_spare(digest) if self._find_spare else None
-        if spare is not None and digest_of(spare) == digest:
+        from_node = (
+            await self._fetch_from_node(digest) if self._fetch_from_node else None
+        )
+        if from_node is not None and digest_of(from_node) == digest:
             log_message("configuration:object_from_node", digest=digest)
             if isinstance(got, Ok):
-                # Written back, or else nothing could be accepted any more once no
-                # node has the version in memory. It may fail; the next load tries.
-                await self._objects.put(name, spare, deadline)
-            return Ok(spare)
+                # Restore the object: once no node has the version in memory, no
+                # document could be accepted any more. If the write fails, the next
+                # load tries again.
+                await self._objects.put(name, from_node, deadline)
+            return Ok(from_node)
         if isinstance(got, Err):
             return Err(got.err_value)
         problem = "the object store does not have it"
@@ -347,26 +366,30 @@
             problem = "its content does not have that digest"
         return Err(Damaged(findings=(Finding(place=name, problem=problem),)))
 
-    def _remember(self, tree: Tree) -> None:
+    def _cache_tree(self, tree: Tree) -> None:
         self._trees[tree.root] = tree
         self._trees.move_to_end(tree.root)
-        while len(self._trees) > N_CACHED:
+        while len(self._trees) > MAX_CACHED_TREES:
             self._trees.popitem(last=False)
 
-    def _pause(self) -> float:
-        return self._rng.uniform(0.5, 1.5) * PAUSE_SECONDS
+    def _draw_backoff(self) -> float:
+        return self._rng.uniform(0.5, 1.5) * MEAN_BACKOFF_SECONDS
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
-class _Base:
-    """What stands at the base version, or the own version that was settled before."""
+class _BaseState:
+    """State of the base version.
+
+    ``accepted`` is the new version where an earlier attempt of the same operation has
+    already committed it.
+    """
 
     head: Head | None = None
     row_version: int = tables.ABSENT
-    settled: Head | None = None
+    accepted: Head | None = None
 
 
-def _heads_of(rows: Iterable[Row]) -> Result[dict[str, Head], Damaged]:
+def _parse_heads(rows: Iterable[Row]) -> Result[dict[str, Head], Damaged]:
     heads: dict[str, Head] = {}
     for row in rows:
         if row.version == tables.ABSENT:
