--- a/celerytrail/operators/__init__.py
+++ b/celerytrail/operators/__init__.py
@@ -1,1 +1,1 @@
-"""Talk to operators: the console, the document and its validation."""
+"""The operators' console and the store of the document."""
--- a/celerytrail/operators/actions.py
+++ b/celerytrail/operators/actions.py
@@ -1,4 +1,4 @@
-"""What the console's buttons do to a draft, up to having it accepted."""
+"""The actions of the console's buttons, from editing a draft to accepting it."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 from ..platform.client import Unavailable
 from ..types import Finding
 from .answers import Answer
-from .drafts import Draft, Edit, difference, draft_of, rebase
+from .drafts import Draft, Edit, difference, draft_from_difference, rebase
 from .formfields import FORMS
 from .forms import FormValues, first, read_entry
 from .live import LiveView
@@ -35,23 +35,23 @@
 from .store import DocumentStore
 
 ACCEPT_SECONDS = 8.0
-KEY_PREFIX = "ct-"
-# A larger document is handed in as a file: browsers are slow with such a text field.
-MAX_SHOWN_BYTES = 512 * 1024
+API_KEY_PREFIX = "ct-"
+# Larger documents are uploaded as a file: browsers are slow with such a text field.
+MAX_RAW_TEXT_BYTES = 512 * 1024
 _OPERATION_ID = re.compile(r"[0-9a-f]{32}")
 
 
 class Actions:
-    """Carries out what a button names.
+    """Carries out the actions of the console's buttons.
 
     Parameters
     ----------
     store : DocumentStore
-        Keeps the document.
+        Loads the document and accepts new versions.
     live : LiveView
-        Gets the hint that a version was accepted.
+        Is notified of each accepted version.
     clock : Clock
-        Monotonic time for deadlines.
+        Gives monotonic time for deadlines.
     """
 
     def __init__(self, *, store: DocumentStore, live: LiveView, clock: Clock) -> None:
@@ -60,18 +60,18 @@
         self._clock = clock
 
     async def act(self, name: str, visit: Visit, values: FormValues) -> Answer:
-        """Do what the button with this name does."""
-        on_entry: dict[str, Callable[[Visit, FormValues], Answer]] = {
+        """Carry out the action of the button with this name."""
+        handlers: dict[str, Callable[[Visit, FormValues], Answer]] = {
             "save": self._save,
-            "more": self._more,
-            "new-key": self._new_key,
+            "more": self._add_rows,
+            "new-key": self._add_api_key,
             "delete": self._delete,
             "undo": self._undo,
             "discard": self._discard,
             "raw": self._raw,
         }
-        if name in on_entry:
-            return on_entry[name](visit, values)
+        if name in handlers:
+            return handlers[name](visit, values)
         if name == "accept":
             return await self._accept(visit, values)
         if name == "rebase":
@@ -80,13 +80,13 @@
             return await self._revert(visit, values)
         return Answer(target="overview", notice="That button is not known.")
 
-    # Entries.
+    # Actions on entries.
 
     def _save(self, visit: Visit, values: FormValues) -> Answer:
-        changed = _edited(visit, values)
-        if changed is None:
+        updated = _put_typed_entry(visit, values)
+        if updated is None:
             return Answer(target="overview", notice="That entry is not known.")
-        visit, edit = changed
+        visit, edit = updated
         if visit.composed.findings_of(edit.kind, edit.key):
             return Answer(
                 status=422,
@@ -97,34 +97,38 @@
         notice = f"Kept in your draft: {edit.label}. Nothing is in force yet."
         return Answer(visit=visit, target=f"list/{edit.kind}", notice=notice)
 
-    def _more(self, visit: Visit, values: FormValues) -> Answer:
-        changed = _edited(visit, values)
-        if changed is None:
+    def _add_rows(self, visit: Visit, values: FormValues) -> Answer:
+        """Show the entry's form again, which adds blank rows to its tables."""
+        updated = _put_typed_entry(visit, values)
+        if updated is None:
             return Answer(target="overview", notice="That entry is not known.")
-        visit, edit = changed
+        visit, edit = updated
         return Answer(visit=visit, target=f"item/{edit.kind}/{edit.key}")
 
-    def _new_key(self, visit: Visit, values: FormValues) -> Answer:
-        """Make an API key: shown in this answer only, kept as a digest only."""
-        changed = _edited(visit, values)
-        if changed is None or changed[1].kind != "organisations":
+    def _add_api_key(self, visit: Visit, values: FormValues) -> Answer:
+        """Create an API key for an organisation.
+
+        The key is shown in this answer only; the draft stores its digest.
+        """
+        updated = _put_typed_entry(visit, values)
+        if updated is None or updated[1].kind != "organisations":
             return Answer(target="overview", notice="That entry is not known.")
-        visit, edit = changed
-        key = KEY_PREFIX + secrets.token_urlsafe(32)
+        visit, edit = updated
+        key = API_KEY_PREFIX + secrets.token_urlsafe(32)
         digest = hashlib.sha256(key.encode()).hexdigest()
         entry = dict(edit.value or {})
         entry["key_digests"] = [*entry["key_digests"], digest]
         visit = visit.with_draft(
             visit.draft.put(Edit(kind=edit.kind, key=edit.key, value=entry))
         )
-        shown = item_values(visit, FORMS[edit.kind], edit.key)
-        assert shown is not None
+        page_values = item_values(visit, FORMS[edit.kind], edit.key)
+        assert page_values is not None
         title = f"Organisation {edit.label}"
         return Answer(
             visit=visit,
             template="item.html",
             title=title,
-            values={**shown, "new_key": key},
+            values={**page_values, "new_key": key},
         )
 
     def _delete(self, visit: Visit, values: FormValues) -> Answer:
@@ -153,19 +157,21 @@
     def _discard(self, visit: Visit, values: FormValues) -> Answer:
         newest = visit.newest
         empty = Draft(base_version=newest.version)
-        fresh = Visit(session=visit.session, newest=newest, base=newest, draft=empty)
-        return Answer(visit=fresh, target="overview", notice="The draft is gone.")
+        new_visit = Visit(
+            session=visit.session, newest=newest, base=newest, draft=empty
+        )
+        return Answer(visit=new_visit, target="overview", notice="The draft is gone.")
 
-    # Whole documents.
+    # Actions on whole documents.
 
     def raw(
         self, visit: Visit, text: str | None = None, findings: Sequence[Finding] = ()
     ) -> Answer:
-        """Return the page with the document as text."""
+        """Return the page with the document as JSON text."""
         is_large = False
         if text is None:
             data = msgspec.json.format(encode(visit.document), indent=2)
-            is_large = len(data) > MAX_SHOWN_BYTES
+            is_large = len(data) > MAX_RAW_TEXT_BYTES
             text = "" if is_large else data.decode()
         return Answer(
             status=422 if findings else 200,
@@ -180,7 +186,9 @@
         if isinstance(validated, Err):
             return self.raw(visit, text, validated.err_value)
         base = visit.base
-        draft = draft_of(base.document, validated.ok_value, visit.draft.base_version)
+        draft = draft_from_difference(
+            base.document, validated.ok_value, visit.draft.base_version
+        )
         return Answer(
             visit=visit.with_draft(draft),
             target="review",
@@ -188,23 +196,23 @@
         )
 
     async def version(self, visit: Visit, number: int) -> Answer | None:
-        """Return the page of one accepted version; None where there is none."""
-        found: list[Loaded] = []
-        for wanted in (number, number - 1):
-            loaded = await self._store.load(self._deadline(), wanted)
+        """Return the page of an accepted version; None where it does not exist."""
+        versions: list[Loaded] = []
+        for version in (number, number - 1):
+            loaded = await self._store.load(self._deadline(), version)
             if isinstance(loaded, Err):
                 return self.unavailable(loaded.err_value, {})
-            found.append(loaded.ok_value)
-        this, before = found
-        if this.head is None:
+            versions.append(loaded.ok_value)
+        shown, previous = versions
+        if shown.head is None:
             return None
         return Answer(
             template="version.html",
             title=f"Version {number}",
             values={
-                "head": this.head,
-                "changes": difference(before.document, this.document),
-                "back": difference(visit.newest.document, this.document),
+                "head": shown.head,
+                "changes": difference(previous.document, shown.document),
+                "back": difference(visit.newest.document, shown.document),
             },
         )
 
@@ -215,23 +223,27 @@
         if isinstance(loaded, Err):
             return self.unavailable(loaded.err_value, values)
         newest = visit.newest
-        draft = draft_of(newest.document, loaded.ok_value.document, newest.version)
-        fresh = Visit(session=visit.session, newest=newest, base=newest, draft=draft)
-        return self.review(fresh, note=f"Return to version {number}")
+        draft = draft_from_difference(
+            newest.document, loaded.ok_value.document, newest.version
+        )
+        new_visit = Visit(
+            session=visit.session, newest=newest, base=newest, draft=draft
+        )
+        return self.review(new_visit, note=f"Return to version {number}")
 
-    # Accepting.
+    # Review and acceptance.
 
     def review(self, visit: Visit, *, note: str = "", operation_id: str = "") -> Answer:
-        """Return the page with the difference, or with all findings."""
-        # The operation id is made with the page, so that a form sent twice, by an
-        # impatient hand or a browser that repeats it, is known as one operation.
-        shown = review_values(visit, operation_id or secrets.token_hex(16), note)
+        """Return the page with the draft's changes, or with all findings."""
+        # The operation id is part of the page, so that a form sent twice, by a double
+        # click or a browser's retry, counts as one operation.
+        page_values = review_values(visit, operation_id or secrets.token_hex(16), note)
         return Answer(
-            status=422 if shown["findings"] else 200,
+            status=422 if page_values["findings"] else 200,
             visit=visit,
             template="review.html",
             title="Review",
-            values=shown,
+            values=page_values,
         )
 
     async def _accept(self, visit: Visit, values: FormValues) -> Answer:
@@ -242,7 +254,7 @@
         validated = visit.composed.validated
         if isinstance(validated, Err):
             return self.review(visit, note=note, operation_id=operation_id)
-        made = await self._store.accept(
+        accepted = await self._store.accept(
             validated.ok_value,
             base_version=visit.draft.base_version,
             operation_id=operation_id,
@@ -250,11 +262,12 @@
             note=note,
             deadline=self._clock.monotonic() + ACCEPT_SECONDS,
         )
-        if isinstance(made, Err):
-            return self._not_accepted(visit, made.err_value, values)
-        return await self._accepted(visit, made.ok_value, validated.ok_value)
+        if isinstance(accepted, Err):
+            return self._not_accepted(visit, accepted.err_value, values)
+        return await self._accepted(visit, accepted.ok_value, validated.ok_value)
 
     async def _accepted(self, visit: Visit, head: Head, document: Document) -> Answer:
+        """Return the page of a new version, after notifying a few nodes."""
         log_message(
             "console:accepted",
             operator=visit.session.operator,
@@ -263,14 +276,14 @@
         )
         await self._live.hint(head)
         newest = Loaded(head=head, document=document)
-        fresh = Visit(
+        new_visit = Visit(
             session=visit.session,
             newest=newest,
             base=newest,
             draft=Draft(base_version=head.version),
         )
         return Answer(
-            visit=fresh,
+            visit=new_visit,
             template="accepted.html",
             title=f"Version {head.version} is accepted",
             values={"head": head},
@@ -279,6 +292,7 @@
     def _not_accepted(
         self, visit: Visit, error: AcceptError, values: FormValues
     ) -> Answer:
+        """Return the page that explains why a draft was not accepted."""
         if isinstance(error, Invalid):
             return self.review(visit)
         if isinstance(error, Conflict):
@@ -321,39 +335,41 @@
         )
 
     def _rebase(self, visit: Visit, *, is_refused: bool = False) -> Answer:
-        """Move the draft on to the newest version and show what differs."""
+        """Rebase the draft on the newest version and show the differences."""
         head = visit.newest.head
         if head is None or head.version == visit.draft.base_version:
             return Answer(target="review")
-        moved = rebase(
+        rebased = rebase(
             visit.draft, visit.base.document, visit.newest.document, head.version
         )
-        fresh = Visit(
+        new_visit = Visit(
             session=visit.session,
             newest=visit.newest,
             base=visit.newest,
-            draft=moved.draft,
+            draft=rebased.draft,
         )
-        mine = None
-        if isinstance(fresh.composed.validated, Ok):
-            mine = difference(fresh.base.document, fresh.composed.validated.ok_value)
+        own_changes = None
+        if isinstance(new_visit.composed.validated, Ok):
+            own_changes = difference(
+                new_visit.base.document, new_visit.composed.validated.ok_value
+            )
         return Answer(
             status=409 if is_refused else 200,
-            visit=fresh,
+            visit=new_visit,
             template="conflict.html",
             title="Another version came first",
             values={
                 "head": head,
                 "old_version": visit.draft.base_version,
                 "theirs": difference(visit.base.document, visit.newest.document),
-                "clashes": moved.clashes,
-                "mine": mine,
+                "clashes": rebased.conflicts,
+                "mine": own_changes,
                 "is_refused": is_refused,
             },
         )
 
     def unavailable(self, error: LoadError, values: FormValues) -> Answer:
-        """Return the page that says what the platform did not do, with the typing."""
+        """Return the page that reports a platform failure and keeps the form."""
         findings: Sequence[Finding] = ()
         if isinstance(error, Damaged):
             findings = error.findings
@@ -379,8 +395,11 @@
         return self._clock.monotonic() + ACCEPT_SECONDS
 
 
-def _edited(visit: Visit, values: FormValues) -> tuple[Visit, Edit] | None:
-    """Return the visit with the typed entry in its draft."""
+def _put_typed_entry(visit: Visit, values: FormValues) -> tuple[Visit, Edit] | None:
+    """Return the visit with the typed entry in its draft, and the edit.
+
+    None where the form names no known list or no key.
+    """
     form = FORMS.get(first(values, "kind"))
     key = first(values, "key")[:200]
     if form is None or not key:
--- a/celerytrail/operators/drafts.py
+++ b/celerytrail/operators/drafts.py
@@ -1,8 +1,8 @@
-"""Drafts: an operator's edits on top of an accepted version, and their differences.
+"""Drafts: an operator's edits on top of an accepted version.
 
-A draft lives in a hidden field of the operator's page and nowhere else. The console
-can then be killed at any moment, and the next one goes on from the page; nothing of
-a draft can take effect by itself, and two operators' drafts can't mix.
+A draft is stored only in a hidden field of the operator's page. The console can
+therefore be killed at any moment and its successor continues from the page, no draft
+takes effect by itself, and the drafts of two operators can't mix.
 """
 
 from __future__ import annotations
@@ -25,8 +25,8 @@
 MAX_DRAFT_BYTES = 8 * 1024 * 1024
 MAX_EDITS = 30_000
 NEW_PREFIX = "+"
-MAX_PLAIN_BYTES = 64 * 1024
-PACKED_MARK = "z:"
+MAX_UNCOMPRESSED_BYTES = 64 * 1024
+COMPRESSED_PREFIX = "z:"
 
 _HINTS = get_type_hints(Document)
 ITEM_TYPES: dict[str, Any] = {
@@ -39,17 +39,17 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Edit:
-    """One entry as it should become.
+    """The new state of one entry.
 
     Parameters
     ----------
     kind : str
-        The list it stands in, such as ``organisations``.
+        The document's list that contains the entry, such as ``organisations``.
     key : str
-        The key of the entry in the base version; a new one has a key that begins
-        with `NEW_PREFIX`, which no name does, so it can't meet another entry's.
+        The entry's key in the base version. The key of a new entry begins with
+        `NEW_PREFIX`; no name does, so it can't collide with an existing key.
     value : dict or None
-        The entry as JSON, as typed, right or wrong; None to remove it.
+        The entry as JSON, as typed and not validated; None to remove it.
     """
 
     kind: str
@@ -63,7 +63,7 @@
 
     @property
     def label(self) -> str:
-        """Return what a person calls the entry."""
+        """Return the entry's name for display."""
         if not self.is_new or self.value is None:
             return self.key
         return str(self.value.get("name", ""))[:100] or "(no name)"
@@ -71,45 +71,45 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Draft:
-    """Edits on top of a version."""
+    """Edits on top of an accepted version."""
 
     base_version: int
     edits: tuple[Edit, ...] = ()
 
     def encode(self) -> str:
-        """Return the text for the hidden field; a long one is packed.
+        """Return the text for the hidden field, compressed when it is long.
 
-        A draft that replaces all of 6,400 organisations would otherwise make pages of
-        10 MB and more, as each quotation mark is escaped in HTML.
+        Uncompressed, a draft that replaces all of 6,400 organisations would make pages
+        of 10 MB and more, as each quotation mark is escaped in HTML.
         """
         data = msgspec.json.encode(self)
-        if len(data) <= MAX_PLAIN_BYTES:
+        if len(data) <= MAX_UNCOMPRESSED_BYTES:
             return data.decode()
-        return PACKED_MARK + base64.b64encode(zlib.compress(data, 6)).decode()
+        return COMPRESSED_PREFIX + base64.b64encode(zlib.compress(data, 6)).decode()
 
     def find(self, kind: str, key: str) -> Edit | None:
-        """Return the edit of an entry, where there is one."""
+        """Return the edit of an entry; None where there is none."""
         for edit in self.edits:
             if edit.kind == kind and edit.key == key:
                 return edit
         return None
 
     def put(self, edit: Edit) -> Draft:
-        """Return the draft with an edit added, in place of one of the same entry."""
-        kept: list[Edit] = []
-        is_placed = False
+        """Return the draft with an edit that replaces any earlier one of its entry."""
+        edits: list[Edit] = []
+        is_replaced = False
         for old in self.edits:
             if (old.kind, old.key) == (edit.kind, edit.key):
-                kept.append(edit)
-                is_placed = True
+                edits.append(edit)
+                is_replaced = True
             else:
-                kept.append(old)
-        if not is_placed:
-            kept.append(edit)
-        return Draft(base_version=self.base_version, edits=tuple(kept))
+                edits.append(old)
+        if not is_replaced:
+            edits.append(edit)
+        return Draft(base_version=self.base_version, edits=tuple(edits))
 
     def new_key(self) -> str:
-        """Return a key for one more new entry."""
+        """Return an unused key for a new entry."""
         numbers = [
             int(edit.key[1:])
             for edit in self.edits
@@ -124,12 +124,15 @@
 
 
 def decode_draft(text: str) -> Result[Draft, Finding]:
-    """Read a hidden field; it comes from outside, whatever we wrote into it."""
+    """Parse a hidden field, which is untrusted input.
+
+    The browser may send anything, whatever the page contained.
+    """
     if len(text) > MAX_DRAFT_BYTES:
         problem = f"is over {MAX_DRAFT_BYTES} bytes; accept it in parts"
         return Err(Finding(place="draft", problem=problem))
     try:
-        draft = msgspec.json.decode(_unpack(text), type=Draft)
+        draft = msgspec.json.decode(_decompress(text), type=Draft)
     except (ValueError, RecursionError, zlib.error) as exc:
         return Err(Finding(place="draft", problem=f"can't be read: {exc}"))
     keys = {(edit.kind, edit.key) for edit in draft.edits}
@@ -140,52 +143,55 @@
     return Ok(draft)
 
 
-def _unpack(text: str) -> bytes:
-    """Return a hidden field's JSON; a small text may not unpack to a huge one."""
-    if not text.startswith(PACKED_MARK):
+def _decompress(text: str) -> bytes:
+    """Return a hidden field's JSON.
+
+    The output is limited, so that a small text can't expand to a huge one.
+    """
+    if not text.startswith(COMPRESSED_PREFIX):
         return text.encode()
-    unpacker = zlib.decompressobj()
-    packed = base64.b64decode(text.removeprefix(PACKED_MARK), validate=True)
-    data = unpacker.decompress(packed, MAX_DRAFT_BYTES)
-    if not unpacker.eof:
+    decompressor = zlib.decompressobj()
+    compressed = base64.b64decode(text.removeprefix(COMPRESSED_PREFIX), validate=True)
+    data = decompressor.decompress(compressed, MAX_DRAFT_BYTES)
+    if not decompressor.eof:
         raise ValueError(f"unpacks to more than {MAX_DRAFT_BYTES} bytes, or is cut")
     return data
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Composed:
-    """A draft put together with its base.
+    """A document made by applying a draft to its base version.
 
     Parameters
     ----------
     validated : Result of Document or tuple of Finding
-        The whole document, or all that is wrong with it.
+        The whole document, or all findings of its validation.
     places : Mapping
-        The place of each edited entry, such as ``organisations[2]``, to its edit.
+        Maps the place of each edited entry, such as ``organisations[2]``, to its edit.
     """
 
     validated: Validated
     places: Mapping[str, Edit]
 
     def findings_of(self, kind: str, key: str) -> dict[str, list[str]]:
-        """Return the problems of one edited entry by the path of the field."""
+        """Return the problems of one edited entry, keyed by the field's path."""
         if isinstance(self.validated, Ok):
             return {}
-        found: dict[str, list[str]] = {}
+        problems: dict[str, list[str]] = {}
         for place, edit in self.places.items():
             if (edit.kind, edit.key) != (kind, key):
                 continue
             for finding in self.validated.err_value:
                 if finding.place.startswith((f"{place}.", f"{place}[")):
                     path = finding.place[len(place) + 1 :]
-                    found.setdefault(path, []).append(finding.problem)
+                    problems.setdefault(path, []).append(finding.problem)
                 elif finding.place == place:
-                    found.setdefault("", []).append(finding.problem)
-        return found
+                    problems.setdefault("", []).append(finding.problem)
+        return problems
 
 
 def compose(base: Document, draft: Draft) -> Composed:
-    """Apply a draft to its base and check the whole."""
+    """Apply a draft to its base version and validate the whole document."""
     findings: list[Finding] = []
     places: dict[str, Edit] = {}
     lists: dict[str, tuple[Any, ...]] = {}
@@ -217,8 +223,8 @@
             items.append(item)
         else:
             add(edit)
-    # A new entry under a name that is taken then shows as doubled; were it put in the
-    # other's place, it would silently overwrite it.
+    # New entries are always appended, so that one whose name is taken is reported as a
+    # duplicate instead of silently overwriting the existing entry.
     for edit in edits.values():
         if edit.is_new:
             add(edit)
@@ -227,18 +233,18 @@
 
 def to_json(item: object) -> JsonObject:
     """Return an entry as plain JSON values."""
-    found: JsonObject = msgspec.json.decode(msgspec.json.encode(item))
-    return found
+    entry: JsonObject = msgspec.json.decode(msgspec.json.encode(item))
+    return entry
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Change:
-    """One field, or one whole entry, that differs between two documents.
+    """A field, or a whole entry, that differs between two documents.
 
     Parameters
     ----------
     kind, key : str
-        The entry.
+        The entry's list and its key.
     field : str
         The field; empty where the whole entry was added or removed.
     before, after : str
@@ -253,13 +259,13 @@
 
     @property
     def place(self) -> str:
-        """Return the entry and field in one text."""
+        """Return the entry and the field as one text."""
         whole = f"{self.kind} / {self.key}"
         return f"{whole} / {self.field}" if self.field else whole
 
 
 def difference(before: Document, after: Document) -> tuple[Change, ...]:
-    """Return what changed from one document to another, by entry and field."""
+    """Return the changes from one document to another, by entry and field."""
     changes: list[Change] = []
     for kind in KINDS:
         old = {item_key(kind, item): item for item in getattr(before, kind)}
@@ -273,26 +279,28 @@
     if old == new:
         return
     if old is None or new is None:
-        yield Change(kind=kind, key=key, before=_text(old), after=_text(new))
+        yield Change(kind=kind, key=key, before=_json_text(old), after=_json_text(new))
         return
     for field in fields(old):
-        was, now = getattr(old, field.name), getattr(new, field.name)
-        if was != now:
+        old_value, new_value = getattr(old, field.name), getattr(new, field.name)
+        if old_value != new_value:
             yield Change(
                 kind=kind,
                 key=key,
                 field=field.name,
-                before=_text(was),
-                after=_text(now),
+                before=_json_text(old_value),
+                after=_json_text(new_value),
             )
 
 
-def _text(value: object) -> str:
+def _json_text(value: object) -> str:
     return "" if value is None else msgspec.json.encode(value).decode()
 
 
-def draft_of(before: Document, after: Document, base_version: int) -> Draft:
-    """Return the edits that lead from one document to another."""
+def draft_from_difference(
+    before: Document, after: Document, base_version: int
+) -> Draft:
+    """Return the draft whose edits turn one document into another."""
     edits: list[Edit] = []
     for kind in KINDS:
         old = {item_key(kind, item): item for item in getattr(before, kind)}
@@ -307,84 +315,88 @@
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
-class Rebased:
-    """A draft moved on to a newer version.
+class RebasedDraft:
+    """A draft rebased on a newer version.
 
     Parameters
     ----------
     draft : Draft
-        The edits; fields that only the other operator changed are as accepted.
-    clashes : tuple of Change
-        Fields that both changed: ``before`` is what the other accepted, ``after``
-        what the draft says.
+        The edits. Fields that only the other operator changed have the values of the
+        newer version.
+    conflicts : tuple of Change
+        Fields that both changed: ``before`` is the value in the newer version,
+        ``after`` the value in the draft.
     """
 
     draft: Draft
-    clashes: tuple[Change, ...]
+    conflicts: tuple[Change, ...]
 
 
 def rebase(
     draft: Draft, base: Document, newer: Document, newer_version: int
-) -> Rebased:
-    """Move a draft on to a newer version, field by field."""
+) -> RebasedDraft:
+    """Rebase a draft on a newer version, field by field."""
     edits: list[Edit] = []
-    clashes: list[Change] = []
+    conflicts: list[Change] = []
     for edit in draft.edits:
-        was = _find(base, edit)
-        now = _find(newer, edit)
-        if was == now or edit.is_new:
+        base_item = _find_item(base, edit)
+        newer_item = _find_item(newer, edit)
+        if base_item == newer_item or edit.is_new:
             edits.append(edit)
             continue
-        if now is None:
+        if newer_item is None:
             if edit.value is not None:
-                # The other operator removed it; keeping the typing adds it anew.
-                clashes.append(
-                    Change(kind=edit.kind, key=edit.key, after=_text(edit.value))
+                # The other operator removed the entry; keeping the edit adds it again.
+                conflicts.append(
+                    Change(kind=edit.kind, key=edit.key, after=_json_text(edit.value))
                 )
-                added = NEW_PREFIX + edit.key
-                edits.append(Edit(kind=edit.kind, key=added, value=edit.value))
+                new_key = NEW_PREFIX + edit.key
+                edits.append(Edit(kind=edit.kind, key=new_key, value=edit.value))
             continue
-        if edit.value is None or was is None:
-            clashes.append(
+        if edit.value is None or base_item is None:
+            conflicts.append(
                 Change(
                     kind=edit.kind,
                     key=edit.key,
-                    before=_text(now),
-                    after=_text(edit.value),
+                    before=_json_text(newer_item),
+                    after=_json_text(edit.value),
                 )
             )
             edits.append(edit)
             continue
-        edits.append(_rebase_entry(edit, to_json(was), to_json(now), clashes))
-    moved = Draft(base_version=newer_version, edits=tuple(edits))
-    return Rebased(draft=moved, clashes=tuple(clashes))
+        edits.append(
+            _rebase_entry(edit, to_json(base_item), to_json(newer_item), conflicts)
+        )
+    rebased = Draft(base_version=newer_version, edits=tuple(edits))
+    return RebasedDraft(draft=rebased, conflicts=tuple(conflicts))
 
 
 def _rebase_entry(
-    edit: Edit, was: JsonObject, now: JsonObject, clashes: list[Change]
+    edit: Edit, base_entry: JsonObject, newer_entry: JsonObject, conflicts: list[Change]
 ) -> Edit:
+    """Return the edit merged with the newer version, and collect the conflicts."""
     assert edit.value is not None
     value = dict(edit.value)
-    for name, accepted in now.items():
-        typed = value.get(name, was[name])
-        if accepted == was[name] or typed == accepted:
+    for name, accepted in newer_entry.items():
+        typed = value.get(name, base_entry[name])
+        if accepted == base_entry[name] or typed == accepted:
             continue
-        if typed == was[name]:
+        if typed == base_entry[name]:
             value[name] = accepted
             continue
-        clashes.append(
+        conflicts.append(
             Change(
                 kind=edit.kind,
                 key=edit.key,
                 field=name,
-                before=_text(accepted),
-                after=_text(typed),
+                before=_json_text(accepted),
+                after=_json_text(typed),
             )
         )
     return Edit(kind=edit.kind, key=edit.key, value=value)
 
 
-def _find(document: Document, edit: Edit) -> Any:
+def _find_item(document: Document, edit: Edit) -> Any:
     for item in getattr(document, edit.kind):
         if item_key(edit.kind, item) == edit.key:
             return item
--- a/celerytrail/operators/outcomes.py
+++ b/celerytrail/operators/outcomes.py
@@ -1,4 +1,4 @@
-"""How loading or accepting a document can end, typed."""
+"""Typed outcomes of loading and accepting a document."""
 
 from __future__ import annotations
 
@@ -12,21 +12,21 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Invalid:
-    """The document was not taken; nothing took effect."""
+    """The document failed validation; nothing took effect."""
 
     findings: tuple[Finding, ...]
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Conflict:
-    """Somebody else's version came first; nothing of one's own took effect.
+    """Another version was accepted first; this one had no effect.
 
     Parameters
     ----------
     head : Head
         The newest version.
     document : Document or None
-        Its document; None where it could not be loaded just now.
+        The newest version's document; None where it could not be loaded.
     """
 
     head: Head
@@ -35,7 +35,10 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class AcceptInDoubt:
-    """May or may not take effect; ask again with the same operation id."""
+    """The version may or may not take effect.
+
+    A retry with the same operation id resolves the doubt.
+    """
 
     operation_id: str
     detail: str = ""
@@ -43,21 +46,24 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Damaged:
-    """What the platform returned is not what was written there."""
+    """The platform returned something other than what was written to it."""
 
     findings: tuple[Finding, ...]
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Loaded:
-    """An accepted version with its document; no head before the first one."""
+    """An accepted version with its document.
+
+    Before the first version, there is no head and the document is empty.
+    """
 
     head: Head | None
     document: Document
 
     @property
     def version(self) -> int:
-        """Return the version; 0 before the first one."""
+        """Return the version number; 0 before the first version."""
         return self.head.version if self.head is not None else 0
 
 
