--- a/celerytrail/operators/formfields.py
+++ b/celerytrail/operators/formfields.py
@@ -1,4 +1,4 @@
-"""The fields of the console's forms: what each does, in words for who fills it in."""
+"""The fields of the console's forms, with their help texts for operators."""
 
 from __future__ import annotations
 
@@ -17,24 +17,24 @@
     Parameters
     ----------
     name : str
-        Its name in the document.
+        The field's name in the document.
     label : str
-        What the form calls it, with the unit.
+        The label in the form, with the unit.
     help : str
-        What it does and what happens next, in plain words.
+        What the field does and what follows from a change, in plain words.
     kind : FieldKind
-        How it is typed: ``refer`` chooses names of the list ``source``; ``lines`` is
-        one name a line; ``rows`` is a table with ``columns``.
+        The kind of input: ``refer`` selects names from the list ``source``, ``lines``
+        takes one name per line and ``rows`` is a table with ``columns``.
     is_optional : bool
-        Whether an empty field stands for "none".
+        Whether an empty field means null.
     choices : tuple of str
-        For ``choice``.
+        For ``choice``: the options.
     source : str
-        For ``refer``: the list of the document that holds the names.
+        For ``refer``: the document's list that contains the names.
     is_many : bool
-        For ``refer``: whether any number may be chosen.
+        For ``refer``: whether any number of names may be selected.
     columns : tuple of Field
-        For ``rows``.
+        For ``rows``: the fields of a row.
     """
 
     name: str
@@ -57,11 +57,11 @@
     kind : str
         The list's name in the document.
     title, one : str
-        The heading of the list, and what one entry is called.
+        The heading of the list and the noun for one of its entries.
     intro : str
-        What the entries are for and what happens when they change.
+        What the entries are for and what follows from a change.
     fields : tuple of Field
-        The fields.
+        The fields of an entry.
     """
 
     kind: str
--- a/celerytrail/operators/forms.py
+++ b/celerytrail/operators/forms.py
@@ -1,7 +1,6 @@
-"""The console's forms: reading what was typed, and showing it with its findings.
+"""The console's forms: parsing posted values and showing them with their findings.
 
-What was typed is kept as it is where it does not fit: the form comes back with it and
-with the finding beside it.
+An invalid value is kept as typed; the form shows it again with the finding beside it.
 """
 
 from __future__ import annotations
@@ -23,7 +22,7 @@
 
 
 def parse_form(body: bytes) -> FormValues | None:
-    """Read a posted form; None where it is not one."""
+    """Parse a posted form; None if the body is not one."""
     try:
         pairs = parse_qsl(
             body.decode("ascii"),
@@ -42,13 +41,13 @@
 
 
 def first(values: FormValues, name: str) -> str:
-    """Return a field's value; empty where it is missing."""
-    given = values.get(name)
-    return given[0] if given else ""
+    """Return a field's first value; empty if the field is missing."""
+    field_values = values.get(name)
+    return field_values[0] if field_values else ""
 
 
 def read_entry(form: Form, values: FormValues) -> JsonObject:
-    """Return an entry as JSON from what was typed, right or wrong."""
+    """Return the typed entry as JSON, without validating it."""
     return {field.name: _read_field(field, field.name, values) for field in form.fields}
 
 
@@ -68,18 +67,18 @@
     if field.kind == "whole" and re.fullmatch(r"[+-]?[0-9]{1,18}", text):
         return int(text)
     if field.kind == "number":
-        # Many keyboards give a decimal comma; refusing it would teach nothing.
-        plain = text.replace(",", ".")
-        if re.fullmatch(r"[+-]?[0-9]{1,18}(\.[0-9]{0,18})?", plain):
-            return float(plain)
+        # A decimal comma is accepted: many keyboards have one in place of the point.
+        normalised = text.replace(",", ".")
+        if re.fullmatch(r"[+-]?[0-9]{1,18}(\.[0-9]{0,18})?", normalised):
+            return float(normalised)
     return text
 
 
 def _read_rows(field: Field, values: FormValues) -> list[JsonObject]:
     rows: list[JsonObject] = []
-    n_rows = first(values, f"{field.name}.n")
-    n_given = int(n_rows) if re.fullmatch(r"[0-9]{1,4}", n_rows) else 0
-    for number in range(n_given):
+    n_rows_text = first(values, f"{field.name}.n")
+    n_rows = int(n_rows_text) if re.fullmatch(r"[0-9]{1,4}", n_rows_text) else 0
+    for number in range(n_rows):
         row = {
             column.name: _read_field(
                 column, f"{field.name}.{number}.{column.name}", values
@@ -92,7 +91,7 @@
 
 
 def blank_entry(form: Form, document: Document) -> JsonObject:
-    """Return what a new entry's form shows at first."""
+    """Return the initial values of a new entry's form."""
     entry: JsonObject = {}
     for field in form.fields:
         if field.kind == "rows" or field.kind == "lines" or field.is_many:
@@ -110,30 +109,30 @@
 
 
 def names_of(document: Document, kind: str) -> list[str]:
-    """Return the names in one list of a document."""
+    """Return the names of the entries in one of the document's lists."""
     return [item.name for item in getattr(document, kind)]
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
-class Shown:
-    """A field as the page shows it: with its value and its findings.
+class FieldView:
+    """A field as the page shows it, with its value and its findings.
 
     Parameters
     ----------
     field : Field
-        The field.
+        The field's definition.
     name : str
         Its name in the posted form, such as ``endpoints.0.address``.
     text : str
-        What a text field shows.
+        The content of a text field.
     chosen : tuple of str
-        Of a choice: what is chosen.
+        For a choice: the selected options.
     options : tuple of str
-        Of a choice: what there is, with what is chosen though it no longer exists.
+        For a choice: all options, including selected ones that no longer exist.
     findings : tuple of str
-        What is wrong with it.
-    rows : tuple of tuple of Shown
-        For a table.
+        The problems to show beside the field.
+    rows : tuple of tuple of FieldView
+        For a table: its cells, row by row.
     """
 
     field: Field
@@ -142,11 +141,11 @@
     chosen: tuple[str, ...] = ()
     options: tuple[str, ...] = ()
     findings: tuple[str, ...] = ()
-    rows: tuple[tuple[Shown, ...], ...] = ()
+    rows: tuple[tuple[FieldView, ...], ...] = ()
 
     @property
     def id(self) -> str:
-        """Return the id by which labels and hints refer to it."""
+        """Return the HTML id to which labels and hints refer."""
         return "f-" + self.name.replace(".", "-")
 
 
@@ -155,60 +154,62 @@
     entry: JsonObject,
     document: Document,
     findings: Mapping[str, list[str]],
-) -> tuple[Shown, ...]:
-    """Return an entry's fields as the page shows them."""
+) -> tuple[FieldView, ...]:
+    """Return the views of an entry's fields."""
     return tuple(
-        _show(field, field.name, entry.get(field.name), document, findings)
+        _view_field(field, field.name, entry.get(field.name), document, findings)
         for field in form.fields
     )
 
 
-def _show(
+def _view_field(
     field: Field,
     path: str,
     value: Any,
     document: Document,
     findings: Mapping[str, list[str]],
-) -> Shown:
-    found = _findings_at(field, path, findings)
+) -> FieldView:
+    problems = _findings_beside(field, path, findings)
     if field.kind == "rows":
         rows = value if isinstance(value, list) else []
-        given = [row if isinstance(row, dict) else {} for row in rows]
+        filled = [row if isinstance(row, dict) else {} for row in rows]
         blanks: list[JsonObject] = [{}] * N_BLANK_ROWS
-        shown = tuple(
+        views = tuple(
             tuple(
-                _show_cell(field, number, column, row, document, findings)
+                _view_cell(field, number, column, row, document, findings)
                 for column in field.columns
             )
-            for number, row in enumerate([*given, *blanks])
+            for number, row in enumerate([*filled, *blanks])
         )
-        return Shown(field=field, name=path, rows=shown, findings=found)
+        return FieldView(field=field, name=path, rows=views, findings=problems)
     if field.kind in ("choice", "refer"):
         values = value if isinstance(value, list) else [value]
-        chosen = tuple(str(one) for one in values if one not in (None, ""))
+        chosen = tuple(str(name) for name in values if name not in (None, ""))
         known = field.choices or tuple(names_of(document, field.source))
-        strange = tuple(one for one in chosen if one not in known)
-        return Shown(
+        unknown = tuple(name for name in chosen if name not in known)
+        return FieldView(
             field=field,
             name=path,
             chosen=chosen,
-            options=known + strange,
-            findings=found,
+            options=known + unknown,
+            findings=problems,
         )
-    return Shown(field=field, name=path, text=_text(field, value), findings=found)
+    return FieldView(
+        field=field, name=path, text=_input_text(field, value), findings=problems
+    )
 
 
-def _show_cell(
+def _view_cell(
     field: Field,
     number: int,
     column: Field,
     row: JsonObject,
     document: Document,
     findings: Mapping[str, list[str]],
-) -> Shown:
+) -> FieldView:
     place = f"{field.name}[{number}].{column.name}"
-    cell = _show(column, place, row.get(column.name), document, findings)
-    return Shown(
+    cell = _view_field(column, place, row.get(column.name), document, findings)
+    return FieldView(
         field=column,
         name=f"{field.name}.{number}.{column.name}",
         text=cell.text,
@@ -218,21 +219,21 @@
     )
 
 
-def _findings_at(
+def _findings_beside(
     field: Field, path: str, findings: Mapping[str, list[str]]
 ) -> tuple[str, ...]:
-    """Return the findings to show beside a field: its own and its lines'."""
-    found: list[str] = []
+    """Return the findings to show beside a field: its own and those of its lines."""
+    shown: list[str] = []
     for place, problems in findings.items():
         if place == path:
-            found.extend(problems)
+            shown.extend(problems)
         elif place.startswith(f"{path}[") and field.kind != "rows":
             number = int(place[len(path) + 1 :].partition("]")[0]) + 1
-            found.extend(f"line {number} {problem}" for problem in problems)
-    return tuple(found)
+            shown.extend(f"line {number} {problem}" for problem in problems)
+    return tuple(shown)
 
 
-def _text(field: Field, value: Any) -> str:
+def _input_text(field: Field, value: Any) -> str:
     if field.kind == "lines":
         lines = value if isinstance(value, list) else []
         return "\n".join(str(line) for line in lines)
--- a/celerytrail/operators/sessions.py
+++ b/celerytrail/operators/sessions.py
@@ -1,7 +1,7 @@
-"""Operators' accounts, sessions and the protection of forms; nothing is kept.
+"""Operators' accounts, sessions and the protection of forms against forgery.
 
-A session is a signed cookie, so any console process with the same secret takes it and
-a console that was killed loses nobody's login.
+Sessions aren't stored. A session is a signed cookie that any console process with the
+same key accepts, so logins survive a restart of the console.
 """
 
 from __future__ import annotations
@@ -20,57 +20,56 @@
 MAX_PASSWORD_CHARS = 1_000
 COOKIE_NAME = "celerytrail_session"
 
-
-FAILURES_BEFORE_WAIT = 5
-WAIT_SECONDS = 30.0
+N_FAILURES_TO_LOCK = 5
+LOCKOUT_SECONDS = 30.0
 MAX_TRACKED_NAMES = 1_000
 
 
 class Accounts:
-    """Who may log in, with a brake on guessing.
+    """Operators' accounts, with a rate limit on guessing passwords.
 
     Parameters
     ----------
     hashes : Mapping
-        Operators' names to their hashes, as `parse_accounts` gives them.
+        Maps operators' names to password hashes, as `parse_accounts` returns them.
     clock : Clock
-        Tells when a name may be tried again.
+        Gives the monotonic time for the rate limit.
     """
 
     def __init__(self, *, hashes: Hashes, clock: Clock) -> None:
         self._hashes = dict(hashes)
         self._clock = clock
         self._failures: dict[str, tuple[int, float]] = {}
-        self._nobody = PasswordHash(salt=b"celerytrail", digest=bytes(32))
+        self._dummy_hash = PasswordHash(salt=b"celerytrail", digest=bytes(32))
 
-    def knows(self, name: str) -> bool:
-        """Return whether there is such an account."""
+    def has_account(self, name: str) -> bool:
+        """Return whether an account of this name exists."""
         return name in self._hashes
 
-    def check(self, name: str, password: str) -> bool:
-        """Return whether a name and password belong together."""
+    def verify_password(self, name: str, password: str) -> bool:
+        """Return whether the password is that of the account."""
         if len(password) > MAX_PASSWORD_CHARS:
             return False
-        # An unknown name costs the same time as a known one, so that the time does
-        # not tell which names exist.
-        wanted = self._hashes.get(name, self._nobody)
-        digest = scrypt_digest(password, wanted.salt)
-        is_same = hmac.compare_digest(digest, wanted.digest)
-        is_good = is_same and name in self._hashes
-        if is_good:
+        # An unknown name takes the same time as a known one, so that the response time
+        # doesn't reveal which names exist.
+        expected = self._hashes.get(name, self._dummy_hash)
+        digest = scrypt_digest(password, expected.salt)
+        is_same = hmac.compare_digest(digest, expected.digest)
+        is_valid = is_same and name in self._hashes
+        if is_valid:
             self._failures.pop(name, None)
         else:
-            self._note_failure(name)
-        return is_good
+            self._record_failure(name)
+        return is_valid
 
     def retry_at(self, name: str) -> float:
-        """Return the monotonic time from which a name may be tried."""
-        n_failures, at = self._failures.get(name, (0, 0.0))
-        if n_failures < FAILURES_BEFORE_WAIT:
+        """Return the monotonic time from which a login under this name is allowed."""
+        n_failures, last_failed_at = self._failures.get(name, (0, 0.0))
+        if n_failures < N_FAILURES_TO_LOCK:
             return 0.0
-        return at + WAIT_SECONDS
+        return last_failed_at + LOCKOUT_SECONDS
 
-    def _note_failure(self, name: str) -> None:
+    def _record_failure(self, name: str) -> None:
         n_failures, _ = self._failures.pop(name, (0, 0.0))
         while len(self._failures) >= MAX_TRACKED_NAMES:
             del self._failures[next(iter(self._failures))]
@@ -79,7 +78,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Session:
-    """Who is logged in, until when, and the nonce their forms are bound to."""
+    """An operator's login: the name, the expiry (wall time) and a nonce for forms."""
 
     operator: str
     expires_at: float
@@ -87,17 +86,17 @@
 
 
 class Sessions:
-    """Signs and reads session cookies and the tokens in forms.
+    """Signs and verifies session cookies and form tokens.
 
     Parameters
     ----------
     keys : sequence of bytes
-        The same for all consoles; the first signs, all are accepted, so that a key
-        can be replaced without logging everybody out.
+        Signing keys, the same for all consoles. The first one signs and all are
+        accepted, so that a key can be rotated without logging everybody out.
     clock : Clock
-        Its wall time decides what has expired.
+        Gives the wall time for expiry checks.
     is_secure : bool
-        Whether the cookie may travel over TLS only.
+        Whether browsers may send the cookie over TLS only.
     """
 
     def __init__(
@@ -110,7 +109,7 @@
         self._is_secure = is_secure
 
     def open(self, operator: str) -> Session:
-        """Begin a session."""
+        """Start a session."""
         return Session(
             operator=operator,
             expires_at=float(int(self._clock.wall() + SESSION_SECONDS)),
@@ -118,65 +117,66 @@
         )
 
     def set_cookie(self, session: Session) -> str:
-        """Return the ``set-cookie`` header that holds a session."""
+        """Return the ``set-cookie`` header that stores a session."""
         expires_at = int(session.expires_at)
         text = f"{session.operator}|{expires_at}|{session.nonce}"
         value = f"{text}|{self._sign('session', text)}".encode().hex()
-        return self._cookie(value, int(SESSION_SECONDS))
+        return self._format_cookie(value, int(SESSION_SECONDS))
 
     def clear_cookie(self) -> str:
         """Return the ``set-cookie`` header that ends a session."""
-        return self._cookie("", 0)
+        return self._format_cookie("", 0)
 
     def read(self, cookie_header: str) -> Session | None:
-        """Return the session in a ``cookie`` header, where it is genuine."""
-        session = self.read_ended(cookie_header)
+        """Return the session in a ``cookie`` header; None if forged or expired."""
+        session = self.read_ignoring_expiry(cookie_header)
         if session is None or session.expires_at <= self._clock.wall():
             return None
         return session
 
-    def read_ended(self, cookie_header: str) -> Session | None:
-        """Return the genuine session in a ``cookie`` header, also when it ended."""
+    def read_ignoring_expiry(self, cookie_header: str) -> Session | None:
+        """Return the session in a ``cookie`` header even if expired; None if forged."""
         for part in cookie_header.split(";"):
             name, _, value = part.strip().partition("=")
             if name == COOKIE_NAME:
-                return self._read(value)
+                return self._parse_cookie(value)
         return None
 
     def sign_text(self, text: str) -> str:
-        """Return a text with a signature, to be read by `read_signed`."""
+        """Return a text with its signature, for `read_signed`."""
         return f"{self._sign('text', text)}.{text}"
 
     def read_signed(self, signed: str) -> str | None:
-        """Return the text that `sign_text` signed, where it is genuine."""
+        """Return the text that `sign_text` signed; None if the signature is wrong."""
         signature, _, text = signed.partition(".")
         return text if self._is_signed("text", text, signature) else None
 
     def form_token(self, session: Session) -> str:
-        """Return what each form of a session must carry.
+        """Return the token that every form of a session must contain.
 
-        Another site can make a browser post a form here with the operator's cookie;
-        it can't read this token out of our pages, so the post is told apart.
+        It protects against cross-site request forgery: another site can make a browser
+        post a form here with the operator's cookie, but can't read the token from our
+        pages.
         """
         return self._sign("form", session.nonce)
 
     def is_form_token(self, session: Session, token: str) -> bool:
-        """Return whether a form carried its session's token."""
+        """Return whether a form's token belongs to the session."""
         return self._is_signed("form", session.nonce, token)
 
     def login_token(self) -> str:
-        """Return what the login form, which has no session yet, must carry."""
+        """Return the token for the login form, which has no session yet."""
         expires_at = str(int(self._clock.wall() + LOGIN_FORM_SECONDS))
         return f"{expires_at}.{self._sign('login', expires_at)}"
 
     def is_login_token(self, token: str) -> bool:
-        """Return whether a login form came from here, lately."""
+        """Return whether a login form's token is genuine and has not expired."""
         expires_at, _, signature = token.partition(".")
         if not self._is_signed("login", expires_at, signature):
             return False
         return int(expires_at) > self._clock.wall()
 
-    def _read(self, value: str) -> Session | None:
+    def _parse_cookie(self, value: str) -> Session | None:
         try:
             text = bytes.fromhex(value).decode()
             text, _, signature = text.rpartition("|")
@@ -191,14 +191,14 @@
         return _signature(self._keys[0], purpose, text)
 
     def _is_signed(self, purpose: str, text: str, signature: str) -> bool:
-        given = signature.encode()
+        signature_bytes = signature.encode()
         is_signed = False
         for key in self._keys:
-            wanted = _signature(key, purpose, text).encode()
-            is_signed |= hmac.compare_digest(wanted, given)
+            expected = _signature(key, purpose, text).encode()
+            is_signed |= hmac.compare_digest(expected, signature_bytes)
         return is_signed
 
-    def _cookie(self, value: str, max_age: int) -> str:
+    def _format_cookie(self, value: str, max_age: int) -> str:
         parts = [
             f"{COOKIE_NAME}={value}",
             "Path=/",
@@ -212,5 +212,5 @@
 
 
 def _signature(key: bytes, purpose: str, text: str) -> str:
-    # The purpose keeps one kind of token from passing for another.
+    # The purpose prevents one kind of token from being accepted as another.
     return hmac.digest(key, f"{purpose}|{text}".encode(), "sha256").hex()
--- a/celerytrail/operators/signin.py
+++ b/celerytrail/operators/signin.py
@@ -1,4 +1,4 @@
-"""Logging in and out, and telling the operator's own forms from forged ones."""
+"""Login and logout, and the refusal of forged forms."""
 
 from __future__ import annotations
 
@@ -16,20 +16,20 @@
 
 
 class SignIn:
-    """Knows who is behind a request.
+    """Authenticates operators and their forms.
 
     Parameters
     ----------
     accounts : Accounts
-        Who may log in.
+        The accounts that may log in.
     sessions : Sessions
-        Signs cookies and forms.
+        Signs and verifies cookies and form tokens.
     pages : Pages
         Renders the login form.
     screen : Screen
-        Sends pages to those who are logged in.
+        Sends pages to operators who are logged in.
     clock : Clock
-        Monotonic time for the brake on guessing.
+        Gives monotonic time for the rate limit on guessing passwords.
     """
 
     def __init__(
@@ -54,33 +54,33 @@
         router.add("POST", "/logout", self._post_logout)
 
     def session_of(self, req: Request) -> Session | None:
-        """Return the session of a request, while its account still exists."""
+        """Return the session of a request; None without a login or its account."""
         session = self._sessions.read(req.headers.get("cookie", ""))
-        if session is None or not self._accounts.knows(session.operator):
+        if session is None or not self._accounts.has_account(session.operator):
             return None
         return session
 
     def is_genuine(self, req: Request, session: Session, values: FormValues) -> bool:
         """Return whether a form was sent from a page of this session."""
-        if _is_foreign(req):
+        if _is_cross_site(req):
             return False
         return self._sessions.is_form_token(session, first(values, "token"))
 
     async def send_session_ended(
         self, req: Request, res: Responder, values: FormValues | None
     ) -> None:
-        """Ask to log in again without losing the typing."""
-        ended = self._sessions.read_ended(req.headers.get("cookie", ""))
+        """Send the login form, which carries the typed values of an expired session."""
+        expired = self._sessions.read_ignoring_expiry(req.headers.get("cookie", ""))
         resume = ""
-        if ended is not None and values and self.is_genuine(req, ended, values):
-            # Only the operator's own form is carried on, and signed, or else a forged
-            # post would be waiting behind the login for the operator to confirm.
+        if expired is not None and values and self.is_genuine(req, expired, values):
+            # Only the operator's own form is carried over, and it is signed. Otherwise
+            # a forged form would await the operator's confirmation after the login.
             fields = msgspec.json.encode(fields_again(values))
             resume = self._sessions.sign_text(fields.decode())
         await self._send_login(res, 403, resume=resume)
 
     async def send_forged(self, req: Request, res: Responder, session: Session) -> None:
-        """Refuse a form that another site may have had the browser send."""
+        """Refuse a form that another site may have made the browser send."""
         log_message("console:forged", operator=session.operator, peer=req.peer)
         answer = Answer(
             status=403,
@@ -109,7 +109,7 @@
 
     async def _post_login(self, req: Request, res: Responder, _: Params) -> None:
         values = parse_form(req.body)
-        if values is None or _is_foreign(req):
+        if values is None or _is_cross_site(req):
             await self._send_login(res, 403, problem="That was not our login form.")
             return
         resume = first(values, "resume")
@@ -122,7 +122,7 @@
             problem = "Too many wrong passwords for this name. Try again in 30 seconds."
             await self._send_login(res, 429, problem=problem, resume=resume)
             return
-        if not self._accounts.check(name, first(values, "password")):
+        if not self._accounts.verify_password(name, first(values, "password")):
             log_message("console:login_refused", operator=name, peer=req.peer)
             problem = "The name and password do not belong together."
             await self._send_login(res, 403, problem=problem, resume=resume)
@@ -134,14 +134,14 @@
         if fields is None:
             await res.send(303, b"", {**headers, "location": "/"})
             return
-        again = Answer(
+        resume_page = Answer(
             template="again.html",
             title="Go on",
             message="You are logged in again.",
             button="Go on with what I typed",
             fields=msgspec.json.decode(fields, type=list[tuple[str, str]]),
         )
-        await self._screen.send_plain(res, session, again, headers)
+        await self._screen.send_plain(res, session, resume_page, headers)
 
     async def _post_logout(self, req: Request, res: Responder, _: Params) -> None:
         session = self.session_of(req)
@@ -153,8 +153,8 @@
         await res.send(303, b"", {**headers, "location": "/login"})
 
 
-def _is_foreign(req: Request) -> bool:
-    """Return whether the browser says that another site sent the form."""
+def _is_cross_site(req: Request) -> bool:
+    """Return whether the browser reports that another site sent the form."""
     return req.headers.get("sec-fetch-site", "same-origin") not in (
         "same-origin",
         "none",
