--- a/tests/storefakes.py
+++ b/tests/storefakes.py
@@ -1,4 +1,4 @@
-"""A table and an object store in memory, with switches for their faults."""
+"""In-memory fakes of the table and the object store, with fault injection."""
 
 from __future__ import annotations
 
@@ -14,7 +14,12 @@
 
 
 class FakeTable(Table):
-    """A table; each switch is a plain attribute."""
+    """A table whose faults are injected by setting attributes.
+
+    ``n_replies_to_lose`` transactions take effect without an answer, and
+    ``n_writes_to_delay`` are kept in ``delayed`` for the test to apply. The next
+    ``n_stale_reads`` reads see ``stale_rows``.
+    """
 
     def __init__(self):
         self.rows: dict[str, Row] = {}
@@ -32,24 +37,24 @@
         if self.is_down:
             return Err(Unavailable(reason="platform_down"))
         if self.n_writes_to_delay:
-            # The request is on its way while the caller has already given it up.
+            # The caller times out while the request is still in the network.
             self.n_writes_to_delay -= 1
             self.delayed.append(transaction)
             return Err(InDoubt(reason="stalled"))
-        made = self.apply(transaction)
+        outcome = self.apply(transaction)
         if self.n_replies_to_lose:
             self.n_replies_to_lose -= 1
             return Err(InDoubt(reason="cut"))
-        return made
+        return outcome
 
     def apply(self, transaction):
-        wrong = [
+        mismatches = [
             self.rows.get(check.key, Row(key=check.key))
             for check in transaction.checks
             if self.rows.get(check.key, Row(key=check.key)).version != check.version
         ]
-        if wrong:
-            return Err(Conflict(rows=tuple(wrong)))
+        if mismatches:
+            return Err(Conflict(rows=tuple(mismatches)))
         versions = {}
         for put in transaction.puts:
             value = msgspec.json.decode(msgspec.json.encode(put.value))
@@ -79,7 +84,11 @@
 
 
 class FakeObjects(ObjectStore):
-    """An object store; each switch is a plain attribute."""
+    """An object store whose faults are injected by setting attributes.
+
+    After ``n_puts_left`` writes, all others fail. With ``is_staggered``, each write
+    takes one turn of the event loop more than the one before.
+    """
 
     def __init__(self):
         self.objects: dict[str, bytes] = {}
