--- a/celerytrail/operators/answers.py
+++ b/celerytrail/operators/answers.py
@@ -1,4 +1,4 @@
-"""What a button or a link leads to, and how it goes out as a page."""
+"""The answer to a button or a link, and how it is sent as a page."""
 
 from __future__ import annotations
 
@@ -11,8 +11,8 @@
 from .pages import Pages, Visit
 from .sessions import Session, Sessions
 
-# No script is allowed at all, so that a text which were shown unescaped by mistake
-# still could not act in an operator's name.
+# No script is allowed at all: a text that a fault leaves unescaped can't act in an
+# operator's name.
 SECURITY_HEADERS = {
     "content-security-policy": "default-src 'none'; style-src 'self';"
     " form-action 'self'; frame-ancestors 'none'; base-uri 'none'",
@@ -25,22 +25,23 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Answer:
-    """What an action leads to: a page by its target, or a template with its values.
+    """The answer to a request: a page by its target, or a template with its values.
 
     Parameters
     ----------
     status : int
         The HTTP status.
     target : str
-        The page to show; empty where ``template`` is given.
+        The page to show; empty if ``template`` is given.
     visit : Visit or None
-        The visit with its new draft; None where it stays.
+        The visit with its new draft; None if the draft is unchanged.
     notice : str
-        A sentence on top of the page.
+        A sentence shown at the top of the page.
     template, title, values
-        The template, the page's heading and what else it shows.
+        The template, the page's heading and the template's other values.
     message, findings, fields, button, is_problem
-        For ``again.html``: what to say, and the fields to post again.
+        For ``again.html``: the message, the findings, and the fields and the button of
+        the form that reposts them.
     """
 
     status: int = 200
@@ -58,14 +59,14 @@
 
 
 class Screen:
-    """Sends answers as pages, each with the token of its session.
+    """Sends answers as pages, with the form token of the session.
 
     Parameters
     ----------
     pages : Pages
         Renders the templates.
     sessions : Sessions
-        Makes the tokens.
+        Makes the form tokens.
     """
 
     def __init__(self, *, pages: Pages, sessions: Sessions) -> None:
@@ -75,11 +76,11 @@
     async def send(
         self, res: Responder, visit: Visit, answer: Answer, target: str = ""
     ) -> None:
-        """Send an answer that has a template; ``target`` marks the navigation."""
+        """Send an answer that has a template; ``target`` is the current page."""
         if answer.template == "again.html":
             await self.send_plain(res, visit.session, answer)
             return
-        page = self._pages.visit(
+        page = self._pages.render_with_draft(
             answer.template,
             visit,
             title=answer.title,
@@ -97,8 +98,8 @@
         answer: Answer,
         headers: dict[str, str] | None = None,
     ) -> None:
-        """Send an answer by ``again.html``, for which no document is needed."""
-        page = self._pages.plain(
+        """Send an answer by ``again.html``, which needs no document."""
+        page = self._pages.render_without_draft(
             "again.html",
             title=answer.title,
             session=session,
--- a/celerytrail/operators/pages.py
+++ b/celerytrail/operators/pages.py
@@ -1,4 +1,4 @@
-"""The console's pages: what a visit knows, and the templates that show it."""
+"""The console's pages: the state behind one request, and the template renderer."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 MAX_SHOWN_CHARS = 300
 MAX_SHOWN_FINDINGS = 200
 
-# The columns of each list beside the name.
+# The columns that each list shows besides the name.
 _COLUMNS = {
     "models": ("version", "n_context_tokens"),
     "adapters": ("model", "version"),
@@ -38,36 +38,39 @@
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
-class Page:
-    """A button of the navigation."""
+class NavigationButton:
+    """A button of the navigation, and the page that it opens."""
 
     target: str
     label: str
 
 
 NAVIGATION = (
-    Page(target="overview", label="Overview"),
-    *(Page(target=f"list/{form.kind}", label=form.title) for form in FORMS.values()),
-    Page(target="review", label="Review"),
-    Page(target="history", label="History"),
-    Page(target="status", label="Status"),
-    Page(target="raw", label="Raw JSON"),
+    NavigationButton(target="overview", label="Overview"),
+    *(
+        NavigationButton(target=f"list/{form.kind}", label=form.title)
+        for form in FORMS.values()
+    ),
+    NavigationButton(target="review", label="Review"),
+    NavigationButton(target="history", label="History"),
+    NavigationButton(target="status", label="Status"),
+    NavigationButton(target="raw", label="Raw JSON"),
 )
 
 
 class Visit:
-    """One request of a logged-in operator: the accepted document and the draft.
+    """Holds the accepted document and the draft for one request of an operator.
 
     Parameters
     ----------
     session : Session
-        Who asks.
+        The logged-in operator's session.
     newest : Loaded
         The newest accepted version.
     base : Loaded
-        The version that the draft stands on.
+        The version that the draft is based on.
     draft : Draft
-        The draft; empty where there is none.
+        The draft; without edits if there is none.
     """
 
     def __init__(
@@ -81,7 +84,7 @@
 
     @property
     def composed(self) -> Composed:
-        """Return the draft put together with its base, checked."""
+        """Return the draft applied to its base, and the outcome of validation."""
         if self._composed is None:
             if self.draft.edits:
                 self._composed = compose(self.base.document, self.draft)
@@ -91,18 +94,18 @@
 
     @property
     def findings(self) -> tuple[Finding, ...]:
-        """Return what is wrong with the draft."""
+        """Return the findings of the draft's validation."""
         validated = self.composed.validated
         return validated.err_value if isinstance(validated, Err) else ()
 
     @property
     def document(self) -> Document:
-        """Return the document with the draft where it is valid, else the base."""
+        """Return the document with the draft if that is valid, else the base."""
         validated = self.composed.validated
         return validated.ok_value if isinstance(validated, Ok) else self.base.document
 
     def with_draft(self, draft: Draft) -> Visit:
-        """Return the same visit with another draft on the same base."""
+        """Return a copy of this visit with another draft on the same base."""
         return Visit(
             session=self.session, newest=self.newest, base=self.base, draft=draft
         )
@@ -126,7 +129,7 @@
 
 
 class Pages:
-    """Renders the templates; everything shown is escaped."""
+    """Renders the templates, with every value escaped."""
 
     def __init__(self) -> None:
         self._environment = jinja2.Environment(
@@ -135,17 +138,19 @@
             undefined=jinja2.StrictUndefined,
             trim_blocks=True,
         )
-        self._environment.filters.update(when=_when, shorten=_shorten, an=_with_article)
+        self._environment.filters.update(
+            when=_format_time, shorten=_shorten, an=_with_article
+        )
 
     def bare(self, template: str, *, title: str, token: str, **values: Any) -> bytes:
-        """Render a page for somebody who is not logged in."""
-        whole = {"operator": "", "n_edits": 0, "notice": "", **values}
-        return self._render(template, title=title, token=token, **whole)
+        """Render a page for a client that is not logged in."""
+        context = {"operator": "", "n_edits": 0, "notice": "", **values}
+        return self._render(template, title=title, token=token, **context)
 
-    def plain(
+    def render_without_draft(
         self, template: str, *, title: str, session: Session, token: str, **values: Any
     ) -> bytes:
-        """Render a page for an operator without the document being known."""
+        """Render a page for an operator without loading the document."""
         return self._render(
             template,
             title=title,
@@ -159,7 +164,7 @@
             **values,
         )
 
-    def visit(
+    def render_with_draft(
         self,
         template: str,
         visit: Visit,
@@ -170,7 +175,7 @@
         notice: str = "",
         **values: Any,
     ) -> bytes:
-        """Render a page that carries the visit's draft."""
+        """Render a page whose forms carry the visit's draft."""
         newest = visit.newest.head
         return self._render(
             template,
@@ -194,7 +199,7 @@
 
 
 def overview_values(visit: Visit) -> dict[str, Any]:
-    """Return what the overview shows."""
+    """Return the values of the overview's template."""
     counts = []
     for form in FORMS.values():
         n_items = len(getattr(visit.base.document, form.kind))
@@ -206,19 +211,19 @@
 
 
 def list_values(visit: Visit, form: Form, q: str) -> dict[str, Any]:
-    """Return what the page of one list shows: its first rows that match."""
+    """Return the values of a list's template: the first rows that match ``q``."""
     names = _COLUMNS[form.kind]
     columns = [field for field in form.fields if field.name in names]
     edits = {edit.key: edit for edit in visit.draft.edits if edit.kind == form.kind}
-    found: list[tuple[str, str, object, Edit | None]] = []
+    candidates: list[tuple[str, str, object, Edit | None]] = []
     for edit in edits.values():
         if edit.is_new:
-            found.append((edit.key, edit.label, None, edit))
+            candidates.append((edit.key, edit.label, None, edit))
     for item in getattr(visit.base.document, form.kind):
         key = item_key(form.kind, item)
-        found.append((key, key, item, edits.get(key)))
-    wanted = q.strip().lower()
-    matching = [one for one in found if wanted in one[1].lower()]
+        candidates.append((key, key, item, edits.get(key)))
+    query = q.strip().lower()
+    matching = [row for row in candidates if query in row[1].lower()]
     rows = []
     for key, label, item, row_edit in matching[:MAX_ROWS]:
         entry = row_edit.value if row_edit is not None else to_json(item)
@@ -226,7 +231,9 @@
             _Row(
                 key=key,
                 label=label,
-                cells=tuple(_cell((entry or {}).get(one.name)) for one in columns),
+                cells=tuple(
+                    _cell((entry or {}).get(column.name)) for column in columns
+                ),
                 mark=_mark(row_edit),
                 n_findings=_n_findings(visit, row_edit),
             )
@@ -241,7 +248,7 @@
 
 
 def item_values(visit: Visit, form: Form, key: str) -> dict[str, Any] | None:
-    """Return what the form of one entry shows; None where there is no such entry."""
+    """Return the values of an entry's form; None if there is no such entry."""
     edit = visit.draft.find(form.kind, key)
     entry = edit.value if edit is not None else None
     if entry is None:
@@ -263,8 +270,8 @@
 
 
 def review_values(visit: Visit, operation_id: str, note: str) -> dict[str, Any]:
-    """Return what the review shows: findings, or else the difference."""
-    findings = [_finding_row(visit, one) for one in visit.findings]
+    """Return the values of the review: the findings, or else the difference."""
+    findings = [_finding_row(visit, finding) for finding in visit.findings]
     changes = () if findings else difference(visit.base.document, visit.document)
     return {
         "findings": findings[:MAX_SHOWN_FINDINGS],
@@ -275,15 +282,15 @@
 
 
 def status_values(statuses: Iterable[NodeStatus], problem: str) -> dict[str, Any]:
-    """Return what the status page shows."""
-    found = list(statuses)
-    versions = Counter(node.version for node in found if node.version is not None)
+    """Return the values of the status page."""
+    nodes = list(statuses)
+    versions = Counter(node.version for node in nodes if node.version is not None)
     by_version = sorted(versions.items(), reverse=True)
-    return {"statuses": found, "by_version": by_version, "problem": problem}
+    return {"statuses": nodes, "by_version": by_version, "problem": problem}
 
 
 def fields_again(values: FormValues) -> list[tuple[str, str]]:
-    """Return posted fields as pairs, without the token, to be posted again."""
+    """Return posted fields as pairs, without the token, for posting them again."""
     return [
         (name, value)
         for name, given in values.items()
@@ -305,20 +312,23 @@
                 target=f"item/{edit.kind}/{edit.key}",
                 label=edit.label,
             )
-    # The entry itself was not edited: it refers to something the draft took away.
+    # The entry itself was not edited: it refers to an entry that the draft removes.
     kind, _, rest = finding.place.partition("[")
-    number = rest.partition("]")[0]
+    index = rest.partition("]")[0]
     target, label, shown = "", "", finding.place
-    if kind in KINDS and number.isdecimal():
-        key = _key_at(visit, kind, int(number))
+    if kind in KINDS and index.isdecimal():
+        key = _key_at(visit, kind, int(index))
         if key:
             target, label = f"item/{kind}/{key}", key
             shown = f"{kind} / {key} / {rest.partition(']')[2].lstrip('.')}"
     return _FindingRow(place=shown, problem=finding.problem, target=target, label=label)
 
 
-def _key_at(visit: Visit, kind: str, number: int) -> str:
-    """Return the key of the entry at a place of the composed list."""
+def _key_at(visit: Visit, kind: str, index: int) -> str:
+    """Return the key of the entry at an index of the list with the draft applied.
+
+    Empty if the list is shorter.
+    """
     removed = {
         edit.key
         for edit in visit.draft.edits
@@ -326,7 +336,7 @@
     }
     keys = [item_key(kind, item) for item in getattr(visit.base.document, kind)]
     kept = [key for key in keys if key not in removed]
-    return kept[number] if number < len(kept) else ""
+    return kept[index] if index < len(kept) else ""
 
 
 def _mark(edit: Edit | None) -> str:
@@ -340,16 +350,16 @@
 def _n_findings(visit: Visit, edit: Edit | None) -> int:
     if edit is None:
         return 0
-    found = visit.composed.findings_of(edit.kind, edit.key)
-    return sum(len(problems) for problems in found.values())
+    findings = visit.composed.findings_of(edit.kind, edit.key)
+    return sum(len(problems) for problems in findings.values())
 
 
 def _cell(value: object) -> str:
     return "" if value is None else _shorten(str(value))
 
 
-def _when(at: float) -> str:
-    """Write a wall time in UTC; a row with a wild one must not break the page."""
+def _format_time(at: float) -> str:
+    """Format a wall-clock time in UTC; one out of range must not break the page."""
     try:
         return time.strftime("%Y-%m-%d %H:%M:%S UTC", time.gmtime(at))
     except (OverflowError, ValueError, OSError):
