--- a/celerytrail/operators/app.py
+++ b/celerytrail/operators/app.py
@@ -1,4 +1,4 @@
-"""The console as a process: its parts put together, started and stopped."""
+"""The console's process: builds its parts, starts and stops them."""
 
 from __future__ import annotations
 
@@ -37,22 +37,22 @@
 # to about three times that when a browser encodes it.
 MAX_FORM_BYTES = 24 * 1024 * 1024
 MAX_CONNECTIONS = 100
-LIST_SECONDS = 2.0
+VM_LIST_SECONDS = 2.0
 
 
 class ConsoleApp:
-    """The console's process.
+    """Builds and runs a console.
 
     Parameters
     ----------
     cfg : ConsoleSettings
-        Its settings.
+        The console's settings.
     clock : Clock or None
-        Where it learns the time; the machine's clocks by default.
+        Supplies the time; the system's clocks by default.
     rng : random.Random or None
-        Its source of jitter.
+        Draws jitter and samples of nodes; seeded by the system by default.
     network : Network or None
-        What carries its connections; the machine's own by default.
+        Opens and accepts connections; the system's network by default.
     """
 
     def __init__(
@@ -98,24 +98,24 @@
         self._server = HttpServer(handler=router, limits=limits, network=network)
 
     async def start(self) -> Address:
-        """Listen; returns the real address."""
+        """Start listening and return the bound address."""
         address = await self._server.start(self._cfg.listen)
         log_message("console:started", address=str(address))
         return address
 
-    async def leave(self) -> None:
-        """Stop listening, let every exchange in progress end, then close."""
+    async def stop(self) -> None:
+        """Stop listening, wait for exchanges in progress, then close."""
         await self._server.drain()
         self._client.close()
 
     async def addresses(self) -> Sequence[Address]:
-        """Return the nodes' peer addresses: those of the settings and of the store."""
-        found = list(self._cfg.nodes)
-        listed = await self._vms.fetch(self._clock.monotonic() + LIST_SECONDS)
+        """Return the nodes' peer addresses, from the settings and from the store."""
+        addresses = list(self._cfg.nodes)
+        listed = await self._vms.fetch(self._clock.monotonic() + VM_LIST_SECONDS)
         if isinstance(listed, Err):
             log_message("console:no_vm_list", problem=listed.err_value.reason)
-            return found
-        return found + node_addresses(listed.ok_value)
+            return addresses
+        return addresses + node_addresses(listed.ok_value)
 
     def _make_console(self, store: DocumentStore) -> Console:
         hashes = parse_accounts(self._cfg.accounts, "accounts")
@@ -133,21 +133,21 @@
 
 
 def run_console(cfg: ConsoleSettings) -> None:
-    """Run a console until it is told to stop."""
+    """Run a console until SIGTERM or SIGINT."""
     start_logging(cfg.vm, None if cfg.log_file == "-" else cfg.log_file)
     asyncio.run(_run(cfg))
 
 
 async def _run(cfg: ConsoleSettings) -> None:
     app = ConsoleApp(cfg=cfg)
-    told_to_stop = asyncio.Event()
+    stop_requested = asyncio.Event()
     loop = asyncio.get_running_loop()
-    for number in (signal.SIGTERM, signal.SIGINT):
-        loop.add_signal_handler(number, told_to_stop.set)
+    for signal_number in (signal.SIGTERM, signal.SIGINT):
+        loop.add_signal_handler(signal_number, stop_requested.set)
     address = await app.start()
     print(f"listening {address} pid {os.getpid()}", flush=True)
-    await told_to_stop.wait()
-    await app.leave()
+    await stop_requested.wait()
+    await app.stop()
 
 
 async def _health(req: Request, res: Responder, params: Params) -> None:
--- a/celerytrail/operators/console.py
+++ b/celerytrail/operators/console.py
@@ -1,9 +1,9 @@
-"""The operators' console: forms over HTTP that lead to one accepted document.
+"""The operators' console: HTTP forms to edit the document and have it accepted.
 
-The console keeps nothing. A draft is carried in the operator's page, a session in a
-signed cookie, and acceptance is one transaction with an operation id from the form.
-So a console that is killed at any step leaves either no trace or a whole version, and
-the same page sent to another console goes on from there.
+The console is stateless. The operator's page carries the draft, a signed cookie the
+session, and acceptance is one transaction under an operation id from the form. A
+console that is killed at any step therefore leaves either nothing or a complete
+version, and the same form can be posted to another console.
 """
 
 from __future__ import annotations
@@ -34,20 +34,20 @@
 
 
 class Console:
-    """Serves the forms.
+    """Serves the console's pages and forms.
 
     Parameters
     ----------
     store : DocumentStore
-        Keeps the document.
+        Loads and accepts versions of the document.
     accounts : Accounts
-        Who may log in.
+        The operators' accounts.
     sessions : Sessions
-        Signs cookies and forms.
+        Signs session cookies and form tokens.
     live : LiveView
-        Asks the nodes.
+        Queries the nodes.
     clock : Clock
-        Monotonic time for deadlines.
+        Supplies monotonic time for deadlines.
     """
 
     def __init__(
@@ -87,22 +87,22 @@
         headers = {"content-type": "text/css", "cache-control": "max-age=300"}
         await res.send(200, self._style, headers)
 
-    # Pages by link, without a draft.
+    # Pages requested by a link, which carries no draft.
 
     async def _get_page(self, req: Request, res: Responder, params: Params) -> None:
         session = self._sign_in.session_of(req)
         if session is None:
             await res.send(303, b"", {**HTML, "location": "/login"})
             return
-        opened = await self._open(session, None)
+        opened = await self._load_visit(session, None)
         if isinstance(opened, Err):
             await self._send_unavailable(res, session, opened.err_value, {})
             return
         values = parse_qs(req.query, keep_blank_values=True)
         target = params.get("target") or "overview"
         visit = opened.ok_value
-        page = await self._views.show(visit, target, values)
-        await self._screen.send(res, visit, page, target)
+        answer = await self._views.show(visit, target, values)
+        await self._screen.send(res, visit, answer, target)
 
     async def _get_document(self, req: Request, res: Responder, _: Params) -> None:
         session = self._sign_in.session_of(req)
@@ -124,7 +124,7 @@
         body = msgspec.json.format(encode(loaded.ok_value.document), indent=2)
         await res.send(200, body, headers)
 
-    # Forms, which carry the draft.
+    # Posted forms, which carry the draft.
 
     async def _post_draft(self, req: Request, res: Responder, _: Params) -> None:
         values = parse_upload(req.headers.get("content-type", ""), req.body)
@@ -140,40 +140,40 @@
             decoded = decode_draft(first(values, "draft"))
             if isinstance(decoded, Err):
                 finding = decoded.err_value
-                answer = Answer(
+                refusal = Answer(
                     status=400,
                     template="again.html",
                     title="The draft can't be read",
                     message=str(finding),
                     is_problem=True,
                 )
-                await self._screen.send_plain(res, session, answer)
+                await self._screen.send_plain(res, session, refusal)
                 return
             draft = decoded.ok_value
-        opened = await self._open(session, draft)
+        opened = await self._load_visit(session, draft)
         if isinstance(opened, Err):
             await self._send_unavailable(res, session, opened.err_value, values)
             return
         visit = opened.ok_value
         if first(values, "do"):
-            made = await self._actions.act(first(values, "do"), visit, values)
+            answer = await self._actions.act(first(values, "do"), visit, values)
         else:
-            made = Answer(target=first(values, "go"))
-        visit = made.visit or visit
-        if made.target:
-            page = await self._views.show(visit, made.target, values)
-            status = max(made.status, page.status)
-            page = replace(page, notice=made.notice, status=status)
-            await self._screen.send(res, visit, page, made.target)
+            answer = Answer(target=first(values, "go"))
+        visit = answer.visit or visit
+        if answer.target:
+            page = await self._views.show(visit, answer.target, values)
+            status = max(answer.status, page.status)
+            page = replace(page, notice=answer.notice, status=status)
+            await self._screen.send(res, visit, page, answer.target)
             return
-        await self._screen.send(res, visit, made)
+        await self._screen.send(res, visit, answer)
 
-    # What both have in common.
+    # Shared by links and forms.
 
-    async def _open(
+    async def _load_visit(
         self, session: Session, draft: Draft | None
     ) -> Result[Visit, LoadError]:
-        """Load the newest version and the one that the draft stands on."""
+        """Load the newest version and the one that the draft is based on."""
         loaded = await self._store.load(self._deadline())
         if isinstance(loaded, Err):
             return Err(loaded.err_value)
@@ -183,12 +183,12 @@
             return Ok(Visit(session=session, newest=newest, base=newest, draft=empty))
         base = newest
         if draft.base_version != newest.version:
-            found = await self._store.load(self._deadline(), draft.base_version)
-            if isinstance(found, Err):
-                return Err(found.err_value)
-            base = found.ok_value
+            loaded_base = await self._store.load(self._deadline(), draft.base_version)
+            if isinstance(loaded_base, Err):
+                return Err(loaded_base.err_value)
+            base = loaded_base.ok_value
         if base.version > newest.version:
-            # The read of the newest version was served stale.
+            # The read of the newest version returned a stale one.
             newest = base
         return Ok(Visit(session=session, newest=newest, base=base, draft=draft))
 
--- a/celerytrail/operators/live.py
+++ b/celerytrail/operators/live.py
@@ -1,4 +1,4 @@
-"""Asking the nodes what they have in force and how they fare."""
+"""Queries nodes for their status and their objects, and sends them version hints."""
 
 from __future__ import annotations
 
@@ -20,11 +20,12 @@
 from ..types import Address
 
 STATUS_PATH = "/peer/v1/status"
-ASK_SECONDS = 2.0
-HINT_SECONDS = 1.0
-N_PARALLEL = 32
-N_HINTED = 4
-N_ASKED = 4
+STATUS_SECONDS = 2.0
+# For a version hint, and for one object from one node.
+REQUEST_SECONDS = 1.0
+N_PARALLEL_REQUESTS = 32
+N_HINTED_NODES = 4
+N_OBJECT_SOURCES = 4
 MAX_NODES = 1_000
 
 AddressSource = Callable[[], Awaitable[Sequence[Address]]]
@@ -32,16 +33,16 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class NodeStatus:
-    """What one node answered.
+    """The status of one node, or why it is unknown.
 
     Parameters
     ----------
     address : Address
-        Its peer address.
+        The node's peer address.
     status : dict or None
-        Its answer; None where it gave none.
+        The node's answer; None if there is none.
     problem : str
-        Why there is no answer.
+        Why there is no status; empty if there is one.
     """
 
     address: Address
@@ -50,26 +51,26 @@
 
     @property
     def version(self) -> int | None:
-        """Return the version it has in force, where it said so."""
+        """Return the version that the node has in force, or None if unknown."""
         version = (self.status or {}).get("version")
         return version if isinstance(version, int) else None
 
 
 class LiveView:
-    """Asks every node known to the platform or named in the settings.
+    """Queries the nodes that the platform lists or the settings name.
 
     Parameters
     ----------
     client : HttpClient
-        Makes the exchanges.
+        Sends the requests.
     auth : PeerAuth
-        Signs them.
+        Signs the requests.
     addresses : callable
         Returns the nodes' peer addresses.
     clock : Clock
-        Monotonic time for deadlines.
+        Supplies monotonic time for deadlines.
     rng : random.Random
-        Chooses the nodes that get a hint.
+        Samples the nodes for hints and for objects.
     """
 
     def __init__(
@@ -88,25 +89,29 @@
         self._rng = rng
 
     async def fetch(self) -> list[NodeStatus]:
-        """Return what each node says of itself, by address."""
+        """Return each node's status, sorted by address."""
         addresses = sorted(set(await self._addresses()))[:MAX_NODES]
-        found: list[NodeStatus] = []
-        for start in range(0, len(addresses), N_PARALLEL):
-            batch = addresses[start : start + N_PARALLEL]
-            found.extend(await asyncio.gather(*(self._ask(one) for one in batch)))
-        return found
+        statuses: list[NodeStatus] = []
+        for start in range(0, len(addresses), N_PARALLEL_REQUESTS):
+            batch = addresses[start : start + N_PARALLEL_REQUESTS]
+            statuses.extend(
+                await asyncio.gather(
+                    *(self._fetch_status(address) for address in batch)
+                )
+            )
+        return statuses
 
     async def hint(self, head: Head) -> None:
-        """Tell a few nodes of a version that was just accepted.
+        """Send a hint about a newly accepted version to a few nodes.
 
-        It saves the second or two until the first node's poll; nothing depends on it.
+        It saves the second or two until the first node polls; nothing depends on it.
         """
         addresses = sorted(set(await self._addresses()))
-        chosen = self._rng.sample(addresses, min(N_HINTED, len(addresses)))
-        value = {"version": head.version, "root": head.root}
-        body = msgspec.json.encode(value)
+        chosen = self._rng.sample(addresses, min(N_HINTED_NODES, len(addresses)))
+        hint = {"version": head.version, "root": head.root}
+        body = msgspec.json.encode(hint)
         headers = self._auth.headers("POST", HINT_PATH, body)
-        deadline = self._clock.monotonic() + HINT_SECONDS
+        deadline = self._clock.monotonic() + REQUEST_SECONDS
         await asyncio.gather(
             *(
                 self._client.request(
@@ -122,28 +127,30 @@
         )
 
     async def find_object(self, digest: str) -> bytes | None:
-        """Ask a few nodes for an object of the version they have in force."""
+        """Fetch an object of the version in force from one of a few nodes."""
         addresses = sorted(set(await self._addresses()))
         path = OBJECT_PATH + digest
         headers = self._auth.headers("GET", path, b"")
-        for address in self._rng.sample(addresses, min(N_ASKED, len(addresses))):
-            deadline = self._clock.monotonic() + HINT_SECONDS
-            made = await self._client.request(
+        for address in self._rng.sample(
+            addresses, min(N_OBJECT_SOURCES, len(addresses))
+        ):
+            deadline = self._clock.monotonic() + REQUEST_SECONDS
+            outcome = await self._client.request(
                 address, "GET", path, headers=headers, deadline=deadline
             )
-            if isinstance(made, Ok) and made.ok_value.status == 200:
-                return made.ok_value.body
+            if isinstance(outcome, Ok) and outcome.ok_value.status == 200:
+                return outcome.ok_value.body
         return None
 
-    async def _ask(self, address: Address) -> NodeStatus:
+    async def _fetch_status(self, address: Address) -> NodeStatus:
         headers = self._auth.headers("GET", STATUS_PATH, b"")
-        deadline = self._clock.monotonic() + ASK_SECONDS
-        made = await self._client.request(
+        deadline = self._clock.monotonic() + STATUS_SECONDS
+        outcome = await self._client.request(
             address, "GET", STATUS_PATH, headers=headers, deadline=deadline
         )
-        if not isinstance(made, Ok):
-            return NodeStatus(address=address, problem=made.err_value.reason)
-        res = made.ok_value
+        if not isinstance(outcome, Ok):
+            return NodeStatus(address=address, problem=outcome.err_value.reason)
+        res = outcome.ok_value
         if res.status != 200:
             return NodeStatus(address=address, problem=f"answered {res.status}")
         try:
--- a/celerytrail/operators/upload.py
+++ b/celerytrail/operators/upload.py
@@ -1,4 +1,4 @@
-"""Reading posted forms, with or without a file."""
+"""Parses posted forms, with or without a file."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 def parse_upload(content_type: str, body: bytes) -> FormValues | None:
-    """Read a form's body; a file's content becomes its field's value.
+    """Parse a form's body; a file's content becomes the value of its field.
 
     Parameters
     ----------
@@ -24,7 +24,7 @@
     Returns
     -------
     FormValues or None
-        Field names to values; None where the body is no form.
+        The values by field name; None if the body is not a form.
     """
     if not content_type.lower().startswith(MULTIPART):
         return parse_form(body)
--- a/celerytrail/operators/views.py
+++ b/celerytrail/operators/views.py
@@ -1,4 +1,4 @@
-"""The console's pages by name: what a link or a button of the navigation shows."""
+"""The console's pages by name, as links and navigation buttons request them."""
 
 from __future__ import annotations
 
@@ -14,22 +14,22 @@
 from .store import DocumentStore
 
 LOAD_SECONDS = 8.0
-HISTORY_LENGTH = 50
+N_HISTORY_ROWS = 50
 
 
 class Views:
-    """Makes the pages that have a name of their own.
+    """Builds the pages that have a name.
 
     Parameters
     ----------
     store : DocumentStore
         Lists the versions.
     actions : Actions
-        Makes the pages that actions lead to as well.
+        Builds the pages that are also answers to actions.
     live : LiveView
-        Asks the nodes.
+        Queries the nodes.
     clock : Clock
-        Monotonic time for deadlines.
+        Supplies monotonic time for deadlines.
     """
 
     def __init__(
@@ -41,23 +41,25 @@
         self._clock = clock
 
     async def show(self, visit: Visit, target: str, values: FormValues) -> Answer:
-        """Return the page with a name such as ``item/models/contracts``."""
+        """Return the page of a name such as ``item/models/contracts``."""
         kind, _, rest = target.partition("/")
-        made = None
+        answer = None
         if kind in ("list", "new", "item"):
-            made = self._entry_page(visit, kind, rest, values)
+            answer = self._entry_page(visit, kind, rest, values)
         elif kind == "overview":
-            shown = overview_values(visit)
-            made = Answer(template="overview.html", title="Overview", values=shown)
+            page_values = overview_values(visit)
+            answer = Answer(
+                template="overview.html", title="Overview", values=page_values
+            )
         elif kind == "review":
-            made = self._actions.review(visit)
+            answer = self._actions.review(visit)
         elif kind == "raw":
-            made = self._actions.raw(visit)
+            answer = self._actions.raw(visit)
         elif kind == "status":
-            made = await self._status_page(visit)
+            answer = await self._status_page(visit)
         elif kind in ("history", "history-before"):
-            made = await self._history_page(visit, kind, rest, values)
-        return made or _no_such_page(visit)
+            answer = await self._history_page(visit, kind, rest, values)
+        return answer or _no_such_page(visit)
 
     def _entry_page(
         self, visit: Visit, kind: str, rest: str, values: FormValues
@@ -69,8 +71,8 @@
         if kind == "new":
             return self._new_page(visit, rest)
         form, q = FORMS[rest], first(values, "q")[:100]
-        shown = list_values(visit, form, q)
-        return Answer(template="list.html", title=form.title, values=shown)
+        page_values = list_values(visit, form, q)
+        return Answer(template="list.html", title=form.title, values=page_values)
 
     def _item_page(self, visit: Visit, rest: str) -> Answer | None:
         kind, _, key = rest.partition("/")
@@ -106,11 +108,11 @@
     async def _history_page(
         self, visit: Visit, kind: str, rest: str, values: FormValues
     ) -> Answer | None:
-        number = int(rest) if rest.isdecimal() and len(rest) < 10 else None
-        if kind == "history" and number is not None:
-            return await self._actions.version(visit, number)
+        version = int(rest) if rest.isdecimal() and len(rest) < 10 else None
+        if kind == "history" and version is not None:
+            return await self._actions.version(visit, version)
         heads = await self._store.history(
-            self._clock.monotonic() + LOAD_SECONDS, before=number, limit=HISTORY_LENGTH
+            self._clock.monotonic() + LOAD_SECONDS, before=version, limit=N_HISTORY_ROWS
         )
         if isinstance(heads, Err):
             return self._actions.unavailable(heads.err_value, values)
--- a/tests/test_console_app.py
+++ b/tests/test_console_app.py
@@ -1,4 +1,4 @@
-"""The console's process on real sockets, before the platform's stand-in and a node."""
+"""The console's process on real sockets, with a stand-in of the platform and a node."""
 
 from __future__ import annotations
 
@@ -64,7 +64,7 @@
             assert page.problems == []
         finally:
             client.close()
-            await app.leave()
+            await app.stop()
             await node.close()
 
 
