--- a/tests/consolerig.py
+++ b/tests/consolerig.py
@@ -1,4 +1,4 @@
-"""An office with a console, for the tests of the console."""
+"""A console with a fake store and a stub of a node, for the tests of the console."""
 
 from __future__ import annotations
 
@@ -38,7 +38,7 @@
 DEAD_NODE = Address(host="10.0.1.2", port=7101)
 
 
-class Auth:
+class StubAuth:
     def headers(self, method, path, body):
         return {"x-peer-signature": "good"}
 
@@ -59,8 +59,8 @@
             await res.send_json(200, self.status)
 
 
-class Office:
-    """A platform, a node, and consoles that can be killed and started."""
+class ConsoleRig:
+    """Runs a fake platform, a node stub, and consoles that can be replaced."""
 
     def __init__(self):
         self.wires = Wires(rng=random.Random(1))
@@ -78,7 +78,7 @@
         await self.start_console()
 
     async def start_console(self):
-        """Start a console that knows nothing of earlier ones."""
+        """Start a console that shares no state with earlier ones but the store."""
         self.n_consoles += 1
         network = self.wires.process(f"console{self.n_consoles}")
         self.address = Address(host=f"10.0.0.{self.n_consoles}", port=7200)
@@ -95,7 +95,7 @@
             sessions=Sessions(keys=(b"k" * 16,), clock=self.clock),
             live=LiveView(
                 client=HttpClient(network=network),
-                auth=Auth(),
+                auth=StubAuth(),
                 addresses=addresses,
                 clock=self.clock,
                 rng=random.Random(2),
@@ -129,7 +129,7 @@
         return browser
 
     async def accept(self, document, base=0):
-        made = await self.store().accept(
+        accepted = await self.store().accept(
             document,
             base_version=base,
             operation_id=f"{base:032x}",
@@ -137,13 +137,13 @@
             note="",
             deadline=self.clock.monotonic() + 5,
         )
-        assert isinstance(made, Ok)
+        assert isinstance(accepted, Ok)
 
     async def newest(self):
         return (await self.store().load(self.clock.monotonic() + 5)).ok_value
 
 
-def start_document() -> Document:
+def initial_document() -> Document:
     return Document(
         models=(ModelSpec(name="contracts", version="v1"),),
         engines=(
