--- a/bench/fleet.py
+++ b/bench/fleet.py
@@ -187,8 +187,8 @@
         return Costs(
             at=asyncio.get_running_loop().time(),
             processor_seconds=time.process_time(),
-            n_news=sum(node.sharing.n_sent for node in nodes),
-            news_bytes=sum(node.sharing.n_sent_bytes for node in nodes),
+            n_news=sum(node.peer_updates.n_sent for node in nodes),
+            news_bytes=sum(node.peer_updates.n_sent_bytes for node in nodes),
             gossip_bytes=sum(node.nodes.gossip.n_sent_bytes for node in nodes),
             n_store_calls=self._store.n_calls,
         )
--- a/celerytrail/relay/calls.py
+++ b/celerytrail/relay/calls.py
@@ -226,7 +226,9 @@
         registration would use up the budget and callers would be refused.
         """
         now = asyncio.get_running_loop().time()
-        reg = self._choice.choose(self._registry.usable(ex.service), tried, now)
+        reg = self._choice.choose(
+            self._registry.usable_endpoints(ex.service), tried, now
+        )
         if reg is None:
             return None
         if is_repeat and not self._budget.take(ex.service, now):
--- a/celerytrail/relay/engineplacer.py
+++ b/celerytrail/relay/engineplacer.py
@@ -12,8 +12,8 @@
 from ..policies.paces import Paces
 from ..policies.readrates import ReadRates
 from .liverun import LiveRun, Prefill
+from .peerupdates import PeerUpdates
 from .registry import Registry
-from .sharing import Sharing
 
 # Share of the target for which a generation waits for an engine with capacity; the rest
 # is for the prefill.
@@ -34,7 +34,7 @@
         Lists the engines.
     loads : EngineLoads
         The runs that all nodes have placed.
-    sharing : Sharing
+    peer_updates : PeerUpdates
         Announces runs to the other nodes.
     paces : Paces
         Decode speed of each engine.
@@ -53,7 +53,7 @@
         *,
         registry: Registry,
         loads: EngineLoads,
-        sharing: Sharing,
+        peer_updates: PeerUpdates,
         paces: Paces,
         failure_domain: str,
         rng: random.Random,
@@ -62,7 +62,7 @@
     ) -> None:
         self._registry = registry
         self._loads = loads
-        self._sharing = sharing
+        self._sharing = peer_updates
         self._paces = paces
         self._failure_domain = failure_domain
         self._rng = rng
@@ -90,7 +90,7 @@
         now = asyncio.get_running_loop().time()
         usable = [
             reg
-            for reg in self._registry.usable(service)
+            for reg in self._registry.usable_endpoints(service)
             if reg.endpoint not in excluded
         ]
         reachable = [
@@ -197,7 +197,7 @@
             is_reading=is_reading,
             is_moving=is_moving,
         )
-        self._sharing.placed(live.run)
+        self._sharing.announce_run(live.run)
 
     def on_first_event(self, live: LiveRun) -> None:
         """Record how long a prefill took, and announce that it has ended."""
--- a/celerytrail/relay/enginewatch.py
+++ b/celerytrail/relay/enginewatch.py
@@ -12,8 +12,8 @@
 from ..nodes.nodes import Nodes
 from ..nodes.rendezvous import Homes
 from .engineapi import EngineApi
+from .peerupdates import PeerUpdates
 from .registry import Registry
-from .sharing import Sharing
 
 # Interval between two reports of one engine, in seconds, and the interval while the
 # store's data on leaving engines is stale.
@@ -40,11 +40,11 @@
         Reads the reports.
     registry : Registry
         Lists the engines.
-    sharing : Sharing
+    peer_updates : PeerUpdates
         Announces the reports to the other nodes.
     nodes : Nodes
         The nodes among which homes are chosen.
-    is_unsure : callable
+    is_store_stale : callable
         Returns whether the store's data on leaving engines is stale.
     is_engine_service : callable
         Returns whether a service's endpoints are engines.
@@ -57,7 +57,7 @@
         *,
         api: EngineApi,
         registry: Registry,
-        sharing: Sharing,
+        peer_updates: PeerUpdates,
         nodes: Nodes,
         is_unsure: Callable[[], bool],
         is_engine_service: Callable[[str], bool],
@@ -65,7 +65,7 @@
     ) -> None:
         self._api = api
         self._registry = registry
-        self._sharing = sharing
+        self._sharing = peer_updates
         self._nodes = nodes
         self._is_store_stale = is_unsure
         self._is_engine_service = is_engine_service
@@ -106,7 +106,7 @@
             )
             return
         report = answered.ok_value
-        self._sharing.reported(reg.endpoint, report)
+        self._sharing.announce_report(reg.endpoint, report)
         if report.is_leaving:
             log_message(
                 "relay:engine:leaving",
--- a/celerytrail/relay/generations.py
+++ b/celerytrail/relay/generations.py
@@ -14,13 +14,13 @@
 from ..platform import wire
 from ..policies.engineloads import Run
 from ..policies.retrybudget import RetryBudget
-from .departures import Departures
 from .engineopener import EngineOpener
 from .engineplacer import EnginePlacer
 from .events import EventSplitter, StreamEvent
 from .exchange import CallerDisconnectedError, Exchange, refuse
 from .liverun import Copied, Failed, LiveRun, Refused, Switched
-from .sharing import Sharing
+from .peerupdates import PeerUpdates
+from .runmover import RunMover
 
 # Engines that may refuse a generation before it is refused to the caller.
 MAX_REFUSALS = 3
@@ -40,9 +40,9 @@
         Chooses engines.
     opener : EngineOpener
         Opens streams.
-    departures : Departures
+    run_mover : RunMover
         Moves runs off engines that leave.
-    sharing : Sharing
+    peer_updates : PeerUpdates
         Announces runs to the other nodes.
     budget : RetryBudget
         Bounds repeated requests.
@@ -55,15 +55,15 @@
         *,
         placer: EnginePlacer,
         opener: EngineOpener,
-        departures: Departures,
-        sharing: Sharing,
+        departures: RunMover,
+        peer_updates: PeerUpdates,
         budget: RetryBudget,
         rng: random.Random,
     ) -> None:
         self._placer = placer
         self._opener = opener
         self._run_mover = departures
-        self._sharing = sharing
+        self._sharing = peer_updates
         self._budget = budget
         self._rng = rng
         self._live: set[LiveRun] = set()
@@ -108,20 +108,20 @@
             if not live.is_complete and live.reg is not None:
                 self._run_mover.free_backup(live, live.reg)
             if live.run.endpoint:
-                self._sharing.ended(live.run.run_id)
+                self._sharing.announce_end(live.run.run_id)
 
     def on_leaving(self, reg: Registration) -> None:
         """Move the runs of a leaving engine to others."""
         self._run_mover.on_leaving(reg, self._live)
 
-    def note_progress(self) -> None:
+    def report_progress(self) -> None:
         """Report the progress of the runs and move those that need it."""
         for live in self._live:
             self._run_mover.move_if_needed(live)
             if live.run.endpoint:
                 n_made = live.n_events * live.engine.n_event_tokens
                 live.run = replace(live.run, n_made_tokens=n_made)
-                self._sharing.progressed(live.run)
+                self._sharing.record_progress(live.run)
 
     # Running.
 
--- a/celerytrail/relay/node.py
+++ b/celerytrail/relay/node.py
@@ -38,20 +38,20 @@
 from ..types import Address
 from .addresses import DirectoryHandler, ReadinessHandler
 from .calls import PlainCalls
-from .departures import Departures
 from .engineapi import EngineApi
 from .engineopener import EngineOpener
 from .engineplacer import EnginePlacer
 from .enginewatch import EngineWatch
 from .generations import Generations
 from .handler import RelayHandler
-from .knowledge import ConfigSink, RegistrationSink
-from .mirror import TableMirror
+from .peerupdates import PeerUpdates
 from .registry import Registry
+from .runmover import RunMover
 from .sharedrows import SharedRows
-from .sharing import Sharing
 from .storeclient import make_rows
-from .watch import Confirmation, TableWatch
+from .tablemirror import TableMirror
+from .tablesinks import ConfigSink, RegistrationSink
+from .tablewatch import Confirmation, TableWatch
 
 MILLISECONDS = 1_000
 # Longest wait of one request for changes, in seconds. Keys stay usable only while the
@@ -194,9 +194,9 @@
         def bound() -> RenewalBound:
             return RenewalBound(seconds=bound_seconds())
 
-        self.shared.serve(table, mirror, bound)
+        self.shared_rows.serve(table, mirror, bound)
         return TableWatch(
-            source=self.shared,
+            source=self.shared_rows,
             table=table,
             sink=mirror,
             wait=lambda: bound().wait_seconds(
@@ -216,18 +216,18 @@
         An answer counts as old as its request. If the bound on revocation is short, a
         node whose requests wait too long would never have rows new enough to serve.
         """
-        if self.shared.is_reader:
+        if self.shared_rows.is_reader:
             longest = READER_WAIT_SECONDS
-            if self.shared.is_relayed:
+            if self.shared_rows.is_relayed:
                 longest = bound.relayed_seconds(longest)
         else:
-            is_relayed = self.shared.is_relayed
+            is_relayed = self.shared_rows.is_relayed
             longest = MANY_NODES_WAIT_SECONDS if is_relayed else WAIT_SECONDS
         return min(longest, WAIT_SHARE * self._freshness.usable_seconds)
 
     def _pause_seconds(self, usual: float, bound_seconds: float) -> float:
         """Return the pause between two requests for a table, in seconds."""
-        if self.shared.is_settled:
+        if self.shared_rows.is_settled:
             return usual
         return min(UNSETTLED_PAUSE_SECONDS, WAIT_SHARE * bound_seconds)
 
@@ -281,7 +281,7 @@
             rng=self._rng,
             is_first_start=cfg.is_first_start,
         )
-        self.shared = SharedRows(
+        self.shared_rows = SharedRows(
             store=self.rows,
             nodes=self.nodes,
             client=HttpClient(process=self.node_id, network=self._network),
@@ -291,12 +291,12 @@
 
     def _make_serving(self) -> None:
         cfg = self.cfg
-        self.sharing = Sharing(
+        self.peer_updates = PeerUpdates(
             node=self.node_id,
             loads=self.loads,
             paces=self._paces,
             peers=self._update_addresses,
-            on_leaving=self.registry.note_leaving,
+            on_leaving=self.registry.record_leaving,
             on_retried=self._on_retried,
             on_aborted=self._on_aborted,
             rng=self._rng,
@@ -305,8 +305,8 @@
             ratio=cfg.retry_ratio,
             allowance=cfg.retry_slack,
             window_seconds=cfg.retry_window_seconds,
-            heard_share=self._heard_share,
-            tell=self.sharing.announce_retry,
+            heard_share=self._reachable_share,
+            tell=self.peer_updates.announce_retry,
         )
         self.endpoints = HttpClient(
             process=self.node_id,
@@ -320,7 +320,7 @@
         placer = EnginePlacer(
             registry=self.registry,
             loads=self.loads,
-            sharing=self.sharing,
+            peer_updates=self.peer_updates,
             paces=self._paces,
             failure_domain=cfg.failure_domain,
             rng=self._rng,
@@ -328,7 +328,7 @@
             rates=ReadRates(),
         )
         opener = EngineOpener(client=self.endpoints)
-        departures = Departures(
+        departures = RunMover(
             api=self._engine_api,
             registry=self.registry,
             loads=self.loads,
@@ -339,14 +339,14 @@
             placer=placer,
             opener=opener,
             departures=departures,
-            sharing=self.sharing,
+            peer_updates=self.peer_updates,
             budget=budget,
             rng=self._rng,
         )
         self._choice = EndpointChoice(
             failure_domain=cfg.failure_domain,
             rng=self._rng,
-            tell=self.sharing.announce_abort,
+            tell=self.peer_updates.announce_abort,
             is_connected=self.endpoints.is_connected,
         )
         self.calls = PlainCalls(
@@ -358,7 +358,7 @@
         self._engine_watch = EngineWatch(
             api=self._engine_api,
             registry=self.registry,
-            sharing=self.sharing,
+            peer_updates=self.peer_updates,
             nodes=self.nodes,
             is_unsure=self._has_stale_registrations,
             is_engine_service=lambda service: self._engine_of(service) is not None,
@@ -386,7 +386,7 @@
         self._readiness = HttpServer(handler=readiness, network=self._network)
         router = Router()
         self.nodes.add_routes(router)
-        self.shared.add_routes(router)
+        self.shared_rows.add_routes(router)
         router.add("GET", "/metrics", self._answer_metrics)
         self._peers = HttpServer(handler=router, network=self._network)
 
@@ -406,12 +406,12 @@
                 await server.start(address)
         await self.nodes.start()
         assert cfg.callers is not None
-        await self.sharing.start(
+        await self.peer_updates.start(
             self._network, Address(host=cfg.callers.host, port=cfg.peer_ports[0])
         )
         for watch in self._watches:
             self._run(watch.run())
-        self._run(self.sharing.run())
+        self._run(self.peer_updates.run())
         self._run(self._engine_watch.run())
         self._run(self._run_housekeeping())
         self._run(self._enter_store())
@@ -434,7 +434,7 @@
         for task in self._tasks:
             task.cancel()
         await self.nodes.stop()
-        self.sharing.close()
+        self.peer_updates.close()
         log_message("relay:node:stopped", node=self.node_id)
 
     async def close(self) -> None:
@@ -445,11 +445,11 @@
             task.cancel()
         await asyncio.wait(self._tasks)
         await self.nodes.stop()
-        self.sharing.close()
+        self.peer_updates.close()
         self.endpoints.close()
 
     @property
-    def endpoints_in_use(self) -> int:
+    def n_endpoint_requests(self) -> int:
         """Return how many requests at endpoints are in progress."""
         return self.generations.n_live + self.calls.n_open
 
@@ -486,9 +486,9 @@
         self._metrics.set("configuration_version", float(cfg.version if cfg else 0))
         self._metrics.set("knowledge_age_seconds", self._freshness.age_seconds or 0.0)
         self._metrics.set("streams", float(self.generations.n_live))
-        self._metrics.set("news_sent", float(self.sharing.n_sent))
-        self._metrics.set("news_sent_bytes", float(self.sharing.n_sent_bytes))
-        self._metrics.set("news_period_seconds", self.sharing.period_seconds)
+        self._metrics.set("news_sent", float(self.peer_updates.n_sent))
+        self._metrics.set("news_sent_bytes", float(self.peer_updates.n_sent_bytes))
+        self._metrics.set("news_period_seconds", self.peer_updates.period_seconds)
         body, headers = self._metrics.render()
         await res.send(200, body, headers)
 
@@ -510,8 +510,8 @@
 
     def _on_engine_leaving(self, reg: Registration) -> None:
         """Record that an engine leaves, and announce it to the other nodes."""
-        self.registry.note_leaving(reg.endpoint)
-        self.sharing.announce_leaving(reg.endpoint)
+        self.registry.record_leaving(reg.endpoint)
+        self.peer_updates.announce_leaving(reg.endpoint)
 
     def _on_leaving(self, reg: Registration) -> None:
         log_message("relay:endpoint:leaving", endpoint=reg.endpoint)
@@ -525,7 +525,7 @@
             and self._clock.boottime() - confirmed_at > STALE_REGISTRATIONS_SECONDS
         )
 
-    def _heard_share(self) -> float:
+    def _reachable_share(self) -> float:
         """Return the share of all known VMs whose nodes run, this one included."""
         known = {member.vm for member in self.nodes.members()}
         running = {member.vm for member in self.nodes.running()} | {self.cfg.node}
@@ -551,7 +551,7 @@
             now = asyncio.get_running_loop().time()
             self.registry.expire(now)
             self.loads.expire(now, self.node_id)
-            self.generations.note_progress()
+            self.generations.report_progress()
             if self.is_ready != self._was_ready and not self.is_stopping:
                 self._was_ready = self.is_ready
                 log_message("relay:node:ready", is_ready=self.is_ready)
--- a/celerytrail/relay/sharing.py
+++ b/celerytrail/relay/peerupdates.py
@@ -67,7 +67,7 @@
     period_seconds: float = SHORTEST_SECONDS
 
 
-class Sharing(asyncio.DatagramProtocol):
+class PeerUpdates(asyncio.DatagramProtocol):
     """Sends this node's updates to the other nodes, and applies theirs.
 
     Parameters
@@ -140,18 +140,18 @@
         """Return the time between two full updates of this node, in seconds."""
         return self._period_seconds
 
-    def placed(self, run: Run) -> None:
+    def announce_run(self, run: Run) -> None:
         """Announce a run that this node placed, or a change of it."""
         self._repeats.note_run()
         self._loads.put(self._node, run, self._now())
         self._send(self._make_update([run]))
 
-    def progressed(self, run: Run) -> None:
+    def record_progress(self, run: Run) -> None:
         """Record the progress of a run, which the next full update carries."""
         self._paces.note(run, self._now())
         self._loads.put(self._node, run, self._now())
 
-    def ended(self, run_id: str) -> None:
+    def announce_end(self, run_id: str) -> None:
         """Announce that a run ended."""
         self._loads.end(self._node, run_id, self._now())
         self._paces.forget(run_id)
@@ -169,7 +169,7 @@
         """Announce that an endpoint aborted a request."""
         self._send(NodeUpdate(node=self._node, aborted=[endpoint]))
 
-    def reported(self, endpoint: str, report: EngineReport) -> None:
+    def announce_report(self, endpoint: str, report: EngineReport) -> None:
         """Announce the load that an engine reported."""
         self._loads.note_report(endpoint, report)
         entry = ReportEntry(
--- a/celerytrail/relay/registry.py
+++ b/celerytrail/relay/registry.py
@@ -10,7 +10,7 @@
 # How long an endpoint whose row vanished around an outage of the store may still be
 # used if its service has no other, in seconds. Rows that lapsed only because of the
 # outage are back within two seconds of the store's return.
-LAPSE_SECONDS = 2.0
+LAPSE_GRACE_SECONDS = 2.0
 
 
 @dataclass(kw_only=True, slots=True)
@@ -52,7 +52,9 @@
         if former is None:
             return
         if may_be_lapse and former.state is EndpointState.READY:
-            self._lapsed[endpoint] = _Lapsed(reg=former, expires_at=now + LAPSE_SECONDS)
+            self._lapsed[endpoint] = _Lapsed(
+                reg=former, expires_at=now + LAPSE_GRACE_SECONDS
+            )
             return
         self._set_leaving(former)
 
@@ -66,7 +68,7 @@
         for reg in found.values():
             self.put(reg)
 
-    def note_leaving(self, endpoint: str) -> None:
+    def record_leaving(self, endpoint: str) -> None:
         """Record that an endpoint announced by its answers or report that it leaves."""
         reg = self._known.get(endpoint)
         if reg is not None:
@@ -90,7 +92,7 @@
         """Return whether the endpoint announced that it leaves, or was removed."""
         return (reg.endpoint, reg.started_at) in self._announced_leaving
 
-    def usable(self, service: str) -> list[Registration]:
+    def usable_endpoints(self, service: str) -> list[Registration]:
         """Return a service's endpoints that accept new work.
 
         If there is none, return those whose rows vanished around an outage.
--- a/celerytrail/relay/departures.py
+++ b/celerytrail/relay/runmover.py
@@ -44,7 +44,7 @@
 SILENCE_TIMEOUT_SECONDS = 0.9
 
 
-class Departures:
+class RunMover:
     """Moves runs off engines before these shut down.
 
     Parameters
--- a/celerytrail/relay/sharedrows.py
+++ b/celerytrail/relay/sharedrows.py
@@ -38,7 +38,7 @@
     StoreUnavailable,
 )
 from ..types import Address
-from .mirror import TableMirror
+from .tablemirror import TableMirror
 
 # Rendezvous key by which nodes are ranked as readers.
 READERS_KEY = "readers of the store"
--- a/celerytrail/relay/mirror.py
+++ b/celerytrail/relay/tablemirror.py
@@ -9,7 +9,7 @@
 
 from ..clock import Clock
 from ..rowsource import Changes, HistoryGone, Row
-from .watch import TableSink
+from .tablewatch import TableSink
 
 # Changes kept for followers; one that lags further reads the whole table.
 MAX_CHANGES = 512
--- a/celerytrail/relay/knowledge.py
+++ b/celerytrail/relay/tablesinks.py
@@ -11,7 +11,7 @@
 from ..model import Registration, RelayConfig
 from ..rowsource import Row
 from .registry import Registry
-from .watch import TableSink
+from .tablewatch import TableSink
 
 ConfigDecoder = Callable[[bytes], Result[RelayConfig, str]]
 RegistrationDecoder = Callable[[str, bytes], Result[Registration, str]]
--- a/tests/sourcesrig.py
+++ b/tests/sourcesrig.py
@@ -137,7 +137,7 @@
     @property
     def reader(self) -> int:
         """Return the number of the only reader."""
-        readers = [i for i, node in enumerate(self.nodes) if node.shared.is_reader]
+        readers = [i for i, node in enumerate(self.nodes) if node.shared_rows.is_reader]
         assert len(readers) == 1
         return readers[0]
 
--- a/tests/test_relay_decisions.py
+++ b/tests/test_relay_decisions.py
@@ -21,7 +21,7 @@
 )
 from celerytrail.policies.retrybudget import USED_SHARE, RetryBudget
 from celerytrail.relay.events import EventSplitter
-from celerytrail.relay.registry import LAPSE_SECONDS, Registry
+from celerytrail.relay.registry import LAPSE_GRACE_SECONDS, Registry
 from celerytrail.types import Address
 
 ENGINE = EngineFacts(
@@ -423,14 +423,14 @@
         registry.put(registration("e1"))
         registry.put(registration("e1", state=EndpointState.LEAVING))
         registry.put(registration("e1", state=EndpointState.LEAVING))
-        assert registry.usable("models") == []
+        assert registry.usable_endpoints("models") == []
         assert departed == ["e1"]
 
     def test_an_endpoint_whose_row_is_deleted_is_removed(self):
         registry, departed = self.make()
         registry.put(registration("e1"))
         registry.remove("e1", 0.0, may_be_lapse=False)
-        assert registry.usable("models") == []
+        assert registry.usable_endpoints("models") == []
         assert departed == ["e1"]
 
     def test_lapsed_rows_are_used_as_a_last_resort_after_a_store_outage(self):
@@ -440,9 +440,9 @@
         registry, departed = self.make()
         registry.put(registration("e1"))
         registry.remove("e1", 10.0, may_be_lapse=True)
-        assert [reg.endpoint for reg in registry.usable("models")] == ["e1"]
-        registry.expire(10.0 + LAPSE_SECONDS)
-        assert registry.usable("models") == []
+        assert [reg.endpoint for reg in registry.usable_endpoints("models")] == ["e1"]
+        registry.expire(10.0 + LAPSE_GRACE_SECONDS)
+        assert registry.usable_endpoints("models") == []
         assert departed == ["e1"]
 
     def test_a_restart_under_the_same_id_is_another_process(self):
@@ -454,13 +454,13 @@
         registry.put(registration("e1", started_at=2))
         assert departed == ["e1"]
         assert not registry.is_usable(previous)
-        assert len(registry.usable("models")) == 1
+        assert len(registry.usable_endpoints("models")) == 1
 
     def test_a_row_of_an_older_incarnation_is_ignored(self):
         registry, departed = self.make()
         registry.put(registration("e1", started_at=2))
         registry.put(registration("e1", started_at=1, state=EndpointState.LEAVING))
-        assert len(registry.usable("models")) == 1
+        assert len(registry.usable_endpoints("models")) == 1
         assert departed == []
 
 
--- a/tests/test_relay_fuzz.py
+++ b/tests/test_relay_fuzz.py
@@ -270,7 +270,7 @@
         while scenario.rig.nodes:
             await scenario.rig.nodes.pop().close()
         node = await scenario.rig.add_node("vm-new")
-        await wait_until(lambda: node.registry.usable("desk"))
+        await wait_until(lambda: node.registry.usable_endpoints("desk"))
         plain_res = await scenario.rig.request("/file/1", body=b"again")
         assert plain_res.status == 200
         stream_res = await scenario.rig.request("/draft/1")
--- a/tests/test_relay_moving.py
+++ b/tests/test_relay_moving.py
@@ -35,7 +35,7 @@
         await wait_until(lambda: first.running)
         await first.tick(3)
         second = await rig.add_engine("e2")
-        await wait_until(lambda: len(node.registry.usable("models")) == 2)
+        await wait_until(lambda: len(node.registry.usable_endpoints("models")) == 2)
         rig.store.put("servers", "e1", first.row("models", "draining"))
         await wait_until(lambda: second.running)
         await second.tick(6)
@@ -60,7 +60,7 @@
             if is_last:
                 for _ in range(3):
                     await asyncio.sleep(0.01)
-                    node.generations.note_progress()
+                    node.generations.report_progress()
                 # A copy is used only once it has had time to become usable.
                 await asyncio.sleep(0.5)
             return copied
@@ -70,7 +70,7 @@
         await wait_until(lambda: any(engine.running for engine in engines.values()))
         first = next(name for name, engine in engines.items() if engine.running)
         await engines[first].tick(2)
-        node.registry.note_leaving(first)
+        node.registry.record_leaving(first)
         second = next(engine for name, engine in engines.items() if name != first)
         await wait_until(lambda: second.running)
         await second.tick(6)
@@ -96,7 +96,7 @@
                     n for n, engine in engines.items() if engine.address == target
                 )
                 leaving.append(name)
-                node.registry.note_leaving(name)
+                node.registry.record_leaving(name)
             return copied
 
         node._engine_api.copy = copy_and_leave
@@ -104,7 +104,7 @@
         await wait_until(lambda: any(engine.running for engine in engines.values()))
         leaving = [next(name for name, engine in engines.items() if engine.running)]
         await engines[leaving[0]].tick(2)
-        node.registry.note_leaving(leaving[0])
+        node.registry.record_leaving(leaving[0])
         await wait_until(lambda: len(leaving) == 2 and engines[leaving[1]].running)
         await engines[leaving[1]].tick(2)
         third = next(engine for name, engine in engines.items() if name not in leaving)
--- a/tests/test_relay_node.py
+++ b/tests/test_relay_node.py
@@ -149,7 +149,7 @@
         pending = asyncio.ensure_future(rig.request("/file/1"))
         await wait_until(lambda: endpoint.ran)
         pending.cancel()
-        await wait_until(lambda: node.endpoints_in_use == 0)
+        await wait_until(lambda: node.n_endpoint_requests == 0)
 
     async def test_a_silent_endpoint_times_out(self, rig):
         endpoint = await rig.add_plain_worker("d1")
@@ -321,7 +321,7 @@
         second = await rig.add_engine("e2")
         rig.store.put("op", "config", config(2, tenants=[]))
         await wait_until(lambda: node.configs.cfg.version == 2)
-        await wait_until(lambda: len(node.registry.usable("models")) == 2)
+        await wait_until(lambda: len(node.registry.usable_endpoints("models")) == 2)
         rig.store.put("servers", "e1", first.row("models", "draining"))
         await wait_until(lambda: second.running)
         await second.tick(6)
@@ -422,7 +422,7 @@
             await rig.request("/file/1", node=first)
             await asyncio.sleep(TELL_SECONDS)
         await rig.add_plain_worker("d2")
-        await wait_until(lambda: len(second.registry.usable("desk")) == 2)
+        await wait_until(lambda: len(second.registry.usable_endpoints("desk")) == 2)
         answers = [await rig.request("/file/1", node=second) for _ in range(6)]
         assert [res.status for res in answers] == [200] * 6
 
@@ -454,7 +454,7 @@
     async def test_one_node_follows_the_store_for_all(self, rig):
         nodes = [await rig.add_node(f"vm-{number}") for number in range(3)]
         await wait_until(lambda: all(len(node.nodes.live()) == 3 for node in nodes))
-        assert sum(node.shared.is_reader for node in nodes) == 1
+        assert sum(node.shared_rows.is_reader for node in nodes) == 1
         rig.store.put("op", "config", config(8))
         await wait_until(lambda: all(node.configs.cfg.version == 8 for node in nodes))
 
@@ -535,12 +535,12 @@
         # drafts would be lost at its shutdown.
         engine = await rig.add_engine("e1")
         node = await rig.add_node(revoke_seconds=1.0)
-        await wait_until(lambda: node.registry.usable("models"))
+        await wait_until(lambda: node.registry.usable_endpoints("models"))
         rig.store.faults.is_silent = True
         await wait_until(lambda: not node.is_ready)
         await wait_until(lambda: not node.nodes.live())
         engine.leaves_ms = 1_500.0
-        await wait_until(lambda: not node.registry.usable("models"))
+        await wait_until(lambda: not node.registry.usable_endpoints("models"))
 
     async def test_nodes_still_count_one_another_as_heard(self, rig):
         # The retry budget is shared among the nodes that receive one another's
@@ -553,7 +553,7 @@
         )
         rig.store.faults.is_silent = True
         await wait_until(lambda: not first.nodes.live())
-        assert first._heard_share() == 1.0
+        assert first._reachable_share() == 1.0
 
 
 class UnavailableStore(RowSource):
--- a/tests/test_relay_sharing.py
+++ b/tests/test_relay_sharing.py
@@ -14,14 +14,14 @@
 from celerytrail.clock import ManualClock, SystemClock
 from celerytrail.policies.engineloads import EngineLoads, Run
 from celerytrail.policies.paces import Paces
-from celerytrail.relay.mirror import MAX_CHANGES, TableMirror
-from celerytrail.relay.sharing import (
+from celerytrail.relay.peerupdates import (
     MAX_RUNS_PER_DATAGRAM,
     NodeUpdate,
-    Sharing,
+    PeerUpdates,
     _run_entry,
 )
-from celerytrail.relay.watch import OUTAGE_SECONDS, TableSink, TableWatch
+from celerytrail.relay.tablemirror import MAX_CHANGES, TableMirror
+from celerytrail.relay.tablewatch import OUTAGE_SECONDS, TableSink, TableWatch
 from celerytrail.rowsource import Changes, HistoryGone, Row, RowSource, StoreUnavailable
 from celerytrail.types import Address
 
@@ -339,10 +339,12 @@
 
 
 class TestPeerUpdates:
-    def make(self, name: str = "me") -> tuple[Sharing, EngineLoads, dict[str, list]]:
+    def make(
+        self, name: str = "me"
+    ) -> tuple[PeerUpdates, EngineLoads, dict[str, list]]:
         loads = EngineLoads()
         events: dict[str, list] = {"leaving": [], "retried": [], "aborted": []}
-        sharing = Sharing(
+        peer_updates = PeerUpdates(
             node=name,
             loads=loads,
             paces=Paces(),
@@ -352,7 +354,7 @@
             on_aborted=events["aborted"].append,
             rng=random.Random(1),
         )
-        return sharing, loads, events
+        return peer_updates, loads, events
 
     def run(self, number: int = 1) -> Run:
         return Run(
@@ -370,7 +372,7 @@
         receiver, loads, _ = self.make()
         sent: list[NodeUpdate] = []
         sender._send = sent.append  # type: ignore[method-assign]
-        sender.placed(self.run())
+        sender.announce_run(self.run())
         receiver.datagram_received(msgspec.msgpack.encode(sent[0]), ("10.0.0.1", 1))
         assert loads.on_engine("e1") == [self.run()]
 
@@ -379,7 +381,7 @@
         sent: list[NodeUpdate] = []
         sender._send = sent.append  # type: ignore[method-assign]
         for number in range(MAX_RUNS_PER_DATAGRAM + 1):
-            sender.progressed(self.run(number))
+            sender.record_progress(self.run(number))
         sender._send_all_runs()
         assert [len(update.runs) for update in sent] == [MAX_RUNS_PER_DATAGRAM, 1]
         assert not any(update.is_complete for update in sent)
@@ -400,9 +402,9 @@
         receiver, loads, _ = self.make()
         sent: list[NodeUpdate] = []
         sender._send = sent.append  # type: ignore[method-assign]
-        sender.placed(self.run())
+        sender.announce_run(self.run())
         receiver.datagram_received(msgspec.msgpack.encode(sent.pop()), ("10.0.0.1", 1))
-        sender.ended("r1")
+        sender.announce_end("r1")
         sent.clear()
         for _ in range(10):
             sender._send_all_runs()
--- a/tests/test_relay_sources.py
+++ b/tests/test_relay_sources.py
@@ -172,7 +172,7 @@
         """
 
         async def steps(fleet: Fleet) -> None:
-            assert sum(node.shared.is_reader for node in fleet.nodes) == 4
+            assert sum(node.shared_rows.is_reader for node in fleet.nodes) == 4
             before = [gate.n_calls for gate in fleet.gates]
             assert await fleet.unready_seconds(4.0) == 0.0
             n_calls = [
@@ -235,7 +235,7 @@
 
         async def steps(fleet: Fleet) -> None:
             domains = {node.node_id: node.cfg.failure_domain for node in fleet.nodes}
-            readers = [node for node in fleet.nodes if node.shared.is_reader]
+            readers = [node for node in fleet.nodes if node.shared_rows.is_reader]
             reader_domains = {node.cfg.failure_domain for node in readers}
             followers = [node for node in fleet.nodes if node not in readers]
             for node in followers:
