--- a/bench/cost.py
+++ b/bench/cost.py
@@ -21,7 +21,7 @@
 from celerytrail.policies.fairness import FairQueue
 from celerytrail.policies.grants import AdmitRequest, Grant
 from celerytrail.policies.lengths import LearnedLengths
-from celerytrail.policies.reports import EngineReport
+from celerytrail.policies.loadreports import EngineReport
 from celerytrail.policies.scheduler import Decision, Granted, PoolScheduler
 
 SIZES = (6, 333, 2000)
@@ -70,7 +70,7 @@
     now, n = 1.0, 0
     live = []
     for _ in range(N_RUNNING):
-        for engine in list(scheduler.book.views):
+        for engine in list(scheduler.tracker.views):
             n += 1
             grant = Grant(grant_id=f"r{n}.0", engine=engine)
             scheduler.adopt(grant, _request(n, rng, now), rng.randrange(1, 500), now)
@@ -89,7 +89,7 @@
         made: list[Decision] = []
         spent["grant"] += _time(submit, made)
         live += [d.grant for d in made if isinstance(d, Granted)]
-        view = scheduler.book.views[f"e{i % n_engines}"]
+        view = scheduler.tracker.views[f"e{i % n_engines}"]
         report = _report(view.name, i + 2, view.running)
         spent["report"] += _time(partial(scheduler.report, report, now))
     return {name: 1e6 * seconds / n_decisions for name, seconds in spent.items()}
--- a/bench/engine.py
+++ b/bench/engine.py
@@ -13,7 +13,7 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
-from celerytrail.policies.reports import EngineReport
+from celerytrail.policies.loadreports import EngineReport
 
 # Seconds a step takes: fixed, per generation in the batch, per 1,000 tokens of memory
 # read, and per prompt token processed.
--- a/bench/fleet.py
+++ b/bench/fleet.py
@@ -16,7 +16,7 @@
 from bench.fleetload import Arrival, FleetLoad, arrivals
 from celerytrail.clock import LoopClock
 from celerytrail.platform.nodefile import RelaySettings
-from celerytrail.policies.placing import Placing
+from celerytrail.policies.placing import PlacementPolicy
 from celerytrail.relay.node import RelayNode
 from celerytrail.types import Address
 from scenarios.memorynetwork import Wires
@@ -40,7 +40,7 @@
 
     Parameters
     ----------
-    placing : Placing or None
+    placing : PlacementPolicy or None
         The policy that places; the product's own by default.
     can_move, can_back_up : bool
         Whether engines allow runs to be moved, and copied as they grow.
@@ -50,7 +50,7 @@
         A node that stands still, from when on and for how many seconds.
     """
 
-    placing: Placing | None = None
+    placing: PlacementPolicy | None = None
     can_move: bool = True
     can_back_up: bool = True
     dropped_share: float = 0.0
--- a/bench/fleetplacing.py
+++ b/bench/fleetplacing.py
@@ -9,20 +9,20 @@
 
 from bench.fleet import Variation
 from celerytrail.policies.engineloads import EngineLoad
-from celerytrail.policies.placing import CheapestPlacing, Demand, Placing
+from celerytrail.policies.placing import Demand, LeastCostPlacement, PlacementPolicy
 
 
-class AnyQueue(CheapestPlacing):
+class AnyQueue(LeastCostPlacement):
     """The product's own, but however many prompts an engine has still to read."""
 
     def choose(
         self, loads: Sequence[EngineLoad], demand: Demand, rng: random.Random
     ) -> EngineLoad | None:
         """Return the fitting engine with the least cost."""
-        return super().choose(loads, replace(demand, read_seconds=math.inf), rng)
+        return super().choose(loads, replace(demand, max_prefill_seconds=math.inf), rng)
 
 
-class RoundRobin(Placing):
+class RoundRobin(PlacementPolicy):
     """Each node sends to the engines in turn, whatever they hold."""
 
     def __init__(self) -> None:
@@ -39,7 +39,7 @@
         return ordered[self._n_placed % len(ordered)]
 
 
-class LeastReported(Placing):
+class LeastReported(PlacementPolicy):
     """Each node goes by the engines' own late reports alone."""
 
     def choose(
@@ -57,7 +57,7 @@
         )
 
 
-class FewestRuns(Placing):
+class FewestRuns(PlacementPolicy):
     """By the view that all nodes share, but only by how many runs there are."""
 
     def choose(
--- a/bench/relayprocess.py
+++ b/bench/relayprocess.py
@@ -31,7 +31,7 @@
 from celerytrail.http.server import HttpServer, ServerLimits
 from celerytrail.log import start_logging
 from celerytrail.metrics import Metrics
-from celerytrail.policies.admitters import LocalAdmitter
+from celerytrail.policies.localadmitter import LocalAdmitter
 from celerytrail.policies.retries import BudgetedRetry
 from celerytrail.types import Address
 
--- a/bench/strategies.py
+++ b/bench/strategies.py
@@ -16,10 +16,10 @@
 
 from bench.workloads import N_NODES, Call
 from celerytrail.policies.admission import AdmissionPolicy
-from celerytrail.policies.engineview import EngineBook, EngineView
+from celerytrail.policies.enginetracker import EngineTracker, EngineView
 from celerytrail.policies.grants import AdmitRequest, Grant
 from celerytrail.policies.lengths import LearnedLengths
-from celerytrail.policies.reports import EngineReport
+from celerytrail.policies.loadreports import EngineReport
 from celerytrail.policies.routing import (
     LeastReported,
     PowerOfTwo,
@@ -120,7 +120,7 @@
     """Each entry node chooses by itself, and sends at once."""
 
     def __init__(self, *, policy: str, seed: int) -> None:
-        self._books = [EngineBook() for _ in range(N_NODES)]
+        self._books = [EngineTracker() for _ in range(N_NODES)]
         self._lengths = [LearnedLengths() for _ in range(N_NODES)]
         self._policies = [
             self._make(policy, random.Random(seed * 100 + node), node)
@@ -161,7 +161,7 @@
         self._books[node].finish(stream.grant_id, self.sim.now)
         if end != "not_run":
             self._lengths[node].end(
-                "m", organisation, n_tokens, censored=end != "answered"
+                "m", organisation, n_tokens, is_censored=end != "answered"
             )
 
     def progress(self, stream: Stream, n_tokens: int) -> None:
@@ -301,7 +301,7 @@
     def __init__(self, *, sim: Simulation) -> None:
         self._sim = sim
 
-    def room(self, view: EngineView, req: AdmitRequest, now: float) -> float:
+    def headroom(self, view: EngineView, req: AdmitRequest, now: float) -> float:
         """Return the share of memory left at the true peak."""
         engine = self._sim.engines[view.name]
         grants = set(view.running)
--- a/celerytrail/callers/starting.py
+++ b/celerytrail/callers/starting.py
@@ -200,7 +200,7 @@
             Engines that are not tried.
         """
         key = req.organisation.name
-        self._retries.first_attempt(key)
+        self._retries.on_first_attempt(key)
         may_have_run = False
         n_attempts = 0
         while True:
--- a/celerytrail/engines/client.py
+++ b/celerytrail/engines/client.py
@@ -11,7 +11,7 @@
 from ..clock import Clock
 from ..http.client import HttpClient, NotSent, Stream
 from ..http.messages import Response
-from ..policies.reports import EngineReport
+from ..policies.loadreports import EngineReport
 from ..types import Address
 from .reader import TokenReader
 from .wire import (
--- a/celerytrail/nodes/alone.py
+++ b/celerytrail/nodes/alone.py
@@ -8,10 +8,10 @@
 from ..clock import Clock
 from ..configuration.current import Configuration
 from ..configuration.document import EngineSpec, VersionedDocument
-from ..policies.engineview import EngineBook
+from ..policies.enginetracker import EngineTracker
 from ..policies.grants import AdmitRequest, GenerationEnd, Grant
 from ..policies.lengths import LengthModel
-from ..policies.reports import EngineReport
+from ..policies.loadreports import EngineReport
 from ..policies.routing import RoutingPolicy
 
 
@@ -48,7 +48,7 @@
         self._routing = routing
         self._clock = clock
         self._rng = rng
-        self._book = EngineBook()
+        self._book = EngineTracker()
         self._apply_document(configuration.current)
         configuration.subscribe(self._apply_document)
 
@@ -76,7 +76,7 @@
         views = [
             view
             for name, view in self._book.views.items()
-            if name in names and view.accepts(req, view.heard_at)
+            if name in names and view.accepts(req, view.last_seen_at)
         ]
         view = self._routing.choose(views, req, now)
         if view is None:
@@ -100,4 +100,6 @@
             return
         is_censored = end != "answered" or n_tokens >= req.n_max_tokens
         self._lengths.advance(req.model, req.organisation, 0, n_tokens)
-        self._lengths.end(req.model, req.organisation, n_tokens, censored=is_censored)
+        self._lengths.end(
+            req.model, req.organisation, n_tokens, is_censored=is_censored
+        )
--- a/celerytrail/nodes/batches.py
+++ b/celerytrail/nodes/batches.py
@@ -13,7 +13,7 @@
 from ..clock import Clock
 from ..http.client import HttpClient
 from ..policies.grants import AdmitRequest, GenerationEnd, Grant
-from ..policies.reports import EngineReport
+from ..policies.loadreports import EngineReport
 from ..types import Address
 from .homes import Homes
 from .homewire import (
--- a/celerytrail/nodes/homes.py
+++ b/celerytrail/nodes/homes.py
@@ -20,7 +20,7 @@
 from ..http.server import Responder
 from ..metrics import Metrics
 from ..policies.grants import AdmitRequest
-from ..policies.reports import SeenReport
+from ..policies.loadreports import TimestampedReport
 from .exchange import refuse_signature
 from .homewire import (
     ADMIT_PATH,
@@ -153,12 +153,12 @@
         for key, home in self._homes.items():
             home.set_engines(self._engine_specs(self.pools[key]))
 
-    def reports(self) -> dict[str, SeenReport]:
+    def reports(self) -> dict[str, TimestampedReport]:
         """Return the last report of each engine in the pools that this node leads."""
         return {
-            name: SeenReport(report=view.report, at=view.reported_at)
+            name: TimestampedReport(report=view.report, at=view.reported_at)
             for key in self._led_pools & self._homes.keys()
-            for name, view in self._homes[key].scheduler.book.views.items()
+            for name, view in self._homes[key].scheduler.tracker.views.items()
             if view.report is not None
         }
 
@@ -173,7 +173,7 @@
                     "n_preemptions": view.report.n_preemptions if view.report else None,
                     "role": view.spec.role,
                 }
-                for name, view in home.scheduler.book.views.items()
+                for name, view in home.scheduler.tracker.views.items()
             }
             pools[key] = {
                 "is_led_here": key in self._led_pools,
--- a/celerytrail/nodes/homewire.py
+++ b/celerytrail/nodes/homewire.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass
 
 from ..policies.grants import AdmitRequest, GenerationEnd, Grant
-from ..policies.reports import EngineReport
+from ..policies.loadreports import EngineReport
 from ..types import NotRun
 
 ADMIT_PATH = "/peer/v1/admit"
--- a/celerytrail/nodes/poolhome.py
+++ b/celerytrail/nodes/poolhome.py
@@ -15,7 +15,7 @@
 from ..engines.client import EngineClient
 from ..metrics import Metrics
 from ..policies.grants import AdmitRequest
-from ..policies.reports import EngineReport
+from ..policies.loadreports import EngineReport
 from ..policies.scheduler import Decision, Granted, PoolScheduler
 from ..types import Address
 from .homewire import AdmitAnswer, ProgressAnswer, ProgressBody
@@ -142,7 +142,7 @@
         reports: list[EngineReport] = []
         ages = []
         if body.wants_reports:
-            for view in self.scheduler.book.views.values():
+            for view in self.scheduler.tracker.views.values():
                 if view.report is not None:
                     reports.append(replace(view.report, running=()))
                     ages.append(now - view.reported_at)
--- a/celerytrail/nodes/reportages.py
+++ b/celerytrail/nodes/reportages.py
@@ -4,7 +4,7 @@
 
 from collections import deque
 
-from ..policies.reports import EngineReport
+from ..policies.loadreports import EngineReport
 
 N_KEPT_REPORTS = 8
 
--- a/celerytrail/orders/order.py
+++ b/celerytrail/orders/order.py
@@ -16,7 +16,7 @@
 from typing import Literal
 
 from ..configuration.document import Document, EngineSpec
-from ..policies.reports import EngineReport
+from ..policies.loadreports import EngineReport
 
 # The largest share of a model's engines that may drain for a change at one time.
 ROLLING_SHARE = 0.25
--- a/celerytrail/orders/reconciler.py
+++ b/celerytrail/orders/reconciler.py
@@ -21,7 +21,7 @@
 from ..metrics import Metrics
 from ..platform.client import Unavailable
 from ..platform.table import Table
-from ..policies.reports import EngineReport, SeenReport
+from ..policies.loadreports import EngineReport, TimestampedReport
 from ..types import Address
 from .leases import LEASE_SECONDS, Lease, LeaseKeeper
 from .order import Change, Order, compare, is_rolling, may_begin_roll
@@ -37,7 +37,7 @@
 MAX_REPORT_AGE_SECONDS = 30.0
 
 
-Reports = Callable[[], Mapping[str, SeenReport]]
+Reports = Callable[[], Mapping[str, TimestampedReport]]
 HeadVersion = Callable[[float], Awaitable[Result[int, Unavailable]]]
 
 
@@ -174,7 +174,7 @@
         for name in [name for name in self._states if name not in names]:
             del self._states[name]
 
-    def _is_stale(self, seen: SeenReport) -> bool:
+    def _is_stale(self, seen: TimestampedReport) -> bool:
         return self._clock.monotonic() - seen.at > MAX_REPORT_AGE_SECONDS
 
     async def _is_newest_version(self, versioned: VersionedDocument) -> bool:
@@ -207,7 +207,7 @@
         self,
         versioned: VersionedDocument,
         spec: EngineSpec,
-        seen: SeenReport,
+        seen: TimestampedReport,
         change: Change,
     ) -> None:
         state = self._states.setdefault(spec.name, _EngineState())
@@ -355,7 +355,7 @@
     """Counts, by model, the engines that drain for a change and those that serve."""
 
     def __init__(
-        self, *, document: Document, reports: Mapping[str, SeenReport]
+        self, *, document: Document, reports: Mapping[str, TimestampedReport]
     ) -> None:
         self._n_engines = Counter(spec.model for spec in document.engines)
         self._n_rolling: Counter[str] = Counter()
--- a/celerytrail/policies/admission.py
+++ b/celerytrail/policies/admission.py
@@ -13,7 +13,7 @@
 import math
 from dataclasses import dataclass
 
-from .engineview import EngineView, RunningGeneration
+from .enginetracker import EngineView, RunningGeneration
 from .grants import AdmitRequest
 from .lengths import LengthModel, prompt_class
 
@@ -43,7 +43,7 @@
     """Decides whether a request fits on an engine."""
 
     @abc.abstractmethod
-    def room(self, view: EngineView, req: AdmitRequest, now: float) -> float:
+    def headroom(self, view: EngineView, req: AdmitRequest, now: float) -> float:
         """Return the share of memory left at the peak; negative if it doesn't fit."""
 
     @abc.abstractmethod
@@ -58,7 +58,7 @@
 class AlwaysAdmit(AdmissionPolicy):
     """Admits every request at once; a baseline for comparisons."""
 
-    def room(self, view: EngineView, req: AdmitRequest, now: float) -> float:
+    def headroom(self, view: EngineView, req: AdmitRequest, now: float) -> float:
         """Return the share of memory that is free now, always positive."""
         free = 1.0 - view.n_used_tokens / max(1, view.n_memory_tokens)
         return max(1e-6, free)
@@ -101,7 +101,7 @@
         """Return an engine's current margin, in standard deviations."""
         return self._margins.get(engine, MARGIN_START)
 
-    def room(self, view: EngineView, req: AdmitRequest, now: float) -> float:
+    def headroom(self, view: EngineView, req: AdmitRequest, now: float) -> float:
         """Return the share of memory left at the forecast's peak."""
         forecast = self._forecast(view, now)
         n_memory = view.n_memory_tokens * (1.0 - RESERVED_SHARE)
--- a/celerytrail/policies/paces.py
+++ b/celerytrail/policies/decodetimes.py
@@ -21,11 +21,11 @@
 @dataclass(frozen=True, kw_only=True, slots=True)
 class _Sample:
     endpoint: str
-    n_made_tokens: int
+    n_generated_tokens: int
     at: float
 
 
-class Paces:
+class DecodeTimes:
     """Estimates the seconds per token of one run, by engine.
 
     Engines of one service differ in speed by a third or more, and one may become slow
@@ -38,7 +38,7 @@
         self._samples: dict[str, _Sample] = {}
         self._seconds: dict[str, float] = {}
 
-    def note(self, run: Run, now: float) -> None:
+    def record_progress(self, run: Run, now: float) -> None:
         """Record the progress of a run."""
         previous = self._samples.get(run.run_id)
         is_new = previous is None or previous.endpoint != run.endpoint
@@ -49,7 +49,7 @@
         if len(self._samples) >= MAX_RUNS:
             self._samples.clear()
         self._samples[run.run_id] = _Sample(
-            endpoint=run.endpoint, n_made_tokens=run.n_made_tokens, at=now
+            endpoint=run.endpoint, n_generated_tokens=run.n_generated_tokens, at=now
         )
 
     def forget(self, run_id: str) -> None:
@@ -61,8 +61,8 @@
         return self._seconds.get(endpoint, DEFAULT_TOKEN_SECONDS)
 
     def _observe(self, previous: _Sample, run: Run, now: float) -> None:
-        n_made = run.n_made_tokens - previous.n_made_tokens
-        if previous.n_made_tokens == 0 or n_made < 0:
+        n_made = run.n_generated_tokens - previous.n_generated_tokens
+        if previous.n_generated_tokens == 0 or n_made < 0:
             return
         seconds = min(MAX_TOKEN_SECONDS, (now - previous.at) / max(1, n_made))
         estimate = self._seconds.get(run.endpoint)
--- a/celerytrail/policies/endpointchoice.py
+++ b/celerytrail/policies/endpointchoice.py
@@ -30,7 +30,7 @@
 MAX_RECORDS = 5_000
 # Minimum time between two announcements of one broken endpoint by a node, in seconds.
 # Announcements by three of ten nodes already make the endpoint the last choice.
-TELL_SECONDS = 0.2
+ANNOUNCE_SECONDS = 0.2
 
 
 @dataclass(kw_only=True, slots=True)
@@ -100,10 +100,10 @@
         record.n_open -= 1
         self._observe(record, 1.0 if is_failed else 0.0, now)
         if is_broken and now >= record.next_announcement_at:
-            record.next_announcement_at = now + TELL_SECONDS
+            record.next_announcement_at = now + ANNOUNCE_SECONDS
             self._tell(endpoint)
 
-    def hear_broken(self, endpoint: str, now: float) -> None:
+    def record_peer_failure(self, endpoint: str, now: float) -> None:
         """Record that an endpoint broke off a request of another node."""
         self._observe(self._record(endpoint), 1.0, now)
 
@@ -114,11 +114,11 @@
 
     def _cost(self, reg: Registration, now: float) -> float:
         record = self._record(reg.endpoint)
-        is_far = reg.failure_domain != self._failure_domain
+        is_cross_domain = reg.failure_domain != self._failure_domain
         return (
             record.n_open / max(1, reg.n_slots)
             + FAILURE_COST * self._rate(record, now)
-            + (CROSS_DOMAIN_COST if is_far else 0.0)
+            + (CROSS_DOMAIN_COST if is_cross_domain else 0.0)
             + (0.0 if self._is_connected(reg.address) else CONNECT_COST)
             + 0.04 * self._rng.random()
         )
--- a/celerytrail/policies/engineloads.py
+++ b/celerytrail/policies/engineloads.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass, replace
 
 from ..model import EngineReport, Registration
-from .repeats import SHORTEST_SECONDS, expiry_seconds
+from .runlistschedule import MIN_LIST_PERIOD_SECONDS, expiry_seconds
 
 # The runs of a node expire after this many seconds without an update from it, or later
 # if its lists are less frequent.
@@ -27,9 +27,9 @@
         Size of its prompt and of its expected output.
     backup : str
         The engine that holds a copy of it; may be empty.
-    is_reading : bool
+    is_prefilling : bool
         Whether its prefill is in progress.
-    n_made_tokens : int
+    n_generated_tokens : int
         Output made so far, as of the last update.
     is_moving : bool
         Whether ``backup`` is the target of a migration in progress.
@@ -40,14 +40,14 @@
     n_prompt_tokens: int
     n_expected_tokens: int
     backup: str = ""
-    is_reading: bool = True
-    n_made_tokens: int = 0
+    is_prefilling: bool = True
+    n_generated_tokens: int = 0
     is_moving: bool = False
 
     @property
     def n_remaining_tokens(self) -> int:
         """Return the expected further output, in tokens."""
-        return max(0, self.n_expected_tokens - self.n_made_tokens)
+        return max(0, self.n_expected_tokens - self.n_generated_tokens)
 
     @property
     def has_copy(self) -> bool:
@@ -56,16 +56,17 @@
 
     def projected(self, seconds: float, token_seconds: float) -> Run:
         """Return the run as expected ``seconds`` after its last update."""
-        if self.is_reading or seconds <= 0 or token_seconds <= 0:
+        if self.is_prefilling or seconds <= 0 or token_seconds <= 0:
             return self
         return replace(
-            self, n_made_tokens=self.n_made_tokens + int(seconds / token_seconds)
+            self,
+            n_generated_tokens=self.n_generated_tokens + int(seconds / token_seconds),
         )
 
     @property
     def n_tokens(self) -> int:
         """Return the memory that it occupies now, in tokens."""
-        return self.n_prompt_tokens + self.n_made_tokens
+        return self.n_prompt_tokens + self.n_generated_tokens
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
@@ -97,9 +98,9 @@
     report: EngineReport | None = None
 
     @property
-    def n_reading_tokens(self) -> int:
+    def n_prefill_tokens(self) -> int:
         """Return the prompt tokens whose prefill isn't complete."""
-        return sum(run.n_prompt_tokens for run in self.runs if run.is_reading)
+        return sum(run.n_prompt_tokens for run in self.runs if run.is_prefilling)
 
     @property
     def n_tokens(self) -> int:
@@ -173,17 +174,17 @@
         self._reports: dict[str, EngineReport] = {}
 
     @property
-    def n_speaking(self) -> int:
+    def n_active_nodes(self) -> int:
         """Return the number of nodes that are known to have runs."""
         return sum(bool(node_runs.listed) for node_runs in self._nodes.values())
 
-    def put(
+    def put_run(
         self,
         node: str,
         run: Run,
         now: float,
         *,
-        period_seconds: float = SHORTEST_SECONDS,
+        period_seconds: float = MIN_LIST_PERIOD_SECONDS,
     ) -> None:
         """Add or update a run of a node.
 
@@ -192,20 +193,20 @@
         node_runs = self._update_node(node, now, period_seconds)
         node_runs.listed[run.run_id] = _ListedRun(run=run, updated_at=now)
 
-    def end(self, node: str, run_id: str, now: float) -> None:
+    def remove_run(self, node: str, run_id: str, now: float) -> None:
         """Remove a run that ended."""
         node_runs = self._nodes.get(node)
         if node_runs is not None:
             node_runs.updated_at = now
             node_runs.listed.pop(run_id, None)
 
-    def replace(
+    def replace_runs(
         self,
         node: str,
         runs: list[Run],
         now: float,
         *,
-        period_seconds: float = SHORTEST_SECONDS,
+        period_seconds: float = MIN_LIST_PERIOD_SECONDS,
     ) -> None:
         """Replace all runs of a node by a complete list."""
         node_runs = self._update_node(node, now, period_seconds)
@@ -213,12 +214,12 @@
             run.run_id: _ListedRun(run=run, updated_at=now) for run in runs
         }
 
-    def of_node(self, node: str) -> list[Run]:
+    def runs_of_node(self, node: str) -> list[Run]:
         """Return all runs of a node."""
         node_runs = self._nodes.get(node)
         return node_runs.runs if node_runs else []
 
-    def on_engine(self, endpoint: str) -> list[Run]:
+    def runs_on_engine(self, endpoint: str) -> list[Run]:
         """Return all nodes' runs on an engine, as of their last update."""
         return [
             run
@@ -239,15 +240,15 @@
             if not node_runs.listed or now > node_runs.expires_at:
                 del self._nodes[node]
 
-    def note_report(self, endpoint: str, report: EngineReport) -> None:
+    def record_report(self, endpoint: str, report: EngineReport) -> None:
         """Record the last report of an engine."""
         self._reports[endpoint] = report
 
-    def forget_report(self, endpoint: str) -> None:
+    def discard_report(self, endpoint: str) -> None:
         """Discard the last report of an engine that was removed."""
         self._reports.pop(endpoint, None)
 
-    def loads(self, empty: list[EngineLoad], now: float) -> list[EngineLoad]:
+    def estimate(self, empty: list[EngineLoad], now: float) -> list[EngineLoad]:
         """Return the loads of engines with the runs of all nodes, as expected now."""
         runs: dict[str, list[Run]] = {}
         copies: dict[str, list[Run]] = {}
--- a/celerytrail/policies/engineview.py
+++ b/celerytrail/policies/enginetracker.py
@@ -11,7 +11,7 @@
 
 from ..configuration.document import EngineSpec
 from .grants import AdmitRequest
-from .reports import EngineReport
+from .loadreports import EngineReport
 
 # Memory assumed for an engine without a report; it is small to avoid overload.
 UNKNOWN_MEMORY_TOKENS = 4096
@@ -64,7 +64,7 @@
     # When the report was true, on this process's monotonic clock.
     reported_at: float = float("-inf")
     # The latest of: when the engine was added, a report was true, progress arrived.
-    heard_at: float = float("-inf")
+    last_seen_at: float = float("-inf")
     # This node's generations by grant id, and those that only reports list.
     running: dict[str, RunningGeneration] = field(default_factory=dict)
     foreign: dict[str, RunningGeneration] = field(default_factory=dict)
@@ -114,10 +114,10 @@
             return False
         if req.adapter and req.adapter not in report.adapters:
             return False
-        return now - self.heard_at <= ENGINE_SILENCE_SECONDS
+        return now - self.last_seen_at <= ENGINE_SILENCE_SECONDS
 
 
-class EngineBook:
+class EngineTracker:
     """Holds the state of all engines that a node sends work to."""
 
     def __init__(self) -> None:
@@ -134,7 +134,7 @@
         for name, spec in wanted.items():
             known = self.views.get(name)
             if known is None:
-                self.views[name] = EngineView(name=name, spec=spec, heard_at=now)
+                self.views[name] = EngineView(name=name, spec=spec, last_seen_at=now)
             else:
                 known.spec = spec
 
@@ -185,7 +185,7 @@
             view.n_own_tokens += n_tokens - run.n_tokens
             run.n_tokens = n_tokens
             run.progress_at = now
-            view.heard_at = now
+            view.last_seen_at = now
         return run
 
     def finish(self, grant_id: str, now: float) -> RunningGeneration | None:
@@ -233,7 +233,7 @@
                     self.finish(grant_id, now)
         view.report = report
         view.reported_at = now - max(0.0, age)
-        view.heard_at = max(view.heard_at, view.reported_at)
+        view.last_seen_at = max(view.last_seen_at, view.reported_at)
         self._reconcile(view, now)
         view.n_changes += 1
         return True
--- a/celerytrail/policies/freshness.py
+++ b/celerytrail/policies/freshness.py
@@ -94,7 +94,7 @@
         return not self._is_strict or age < self._usable_seconds
 
     @property
-    def may_deny(self) -> bool:
+    def can_deny(self) -> bool:
         """Return whether an unknown route or key may be denied now."""
         age = self.age_seconds
         return age is not None and age < self._deniable_seconds
--- a/celerytrail/policies/lengths.py
+++ b/celerytrail/policies/lengths.py
@@ -228,7 +228,7 @@
 
     @abc.abstractmethod
     def end(
-        self, model: str, organisation: str, n_tokens: int, *, censored: bool
+        self, model: str, organisation: str, n_tokens: int, *, is_censored: bool
     ) -> None:
         """Learn that a generation has ended.
 
@@ -238,7 +238,7 @@
             The model that ran, or its prompt class, and whose generation it was.
         n_tokens : int
             Tokens that it produced.
-        censored : bool
+        is_censored : bool
             Whether it was cut off (cancelled, lost, at its limit), so that its natural
             length is unknown.
         """
@@ -303,11 +303,11 @@
                 table.add(b, ended=0.0)
 
     def end(
-        self, model: str, organisation: str, n_tokens: int, *, censored: bool
+        self, model: str, organisation: str, n_tokens: int, *, is_censored: bool
     ) -> None:
         """Learn that a generation has ended; see `LengthModel.end`."""
         b = bucket_of(n_tokens)
-        if censored:
+        if is_censored:
             # It was at risk for half of its last bucket on average, by the actuarial
             # convention for censored observations.
             for table in self._tables_for(model, organisation):
--- a/celerytrail/policies/reports.py
+++ b/celerytrail/policies/loadreports.py
@@ -67,7 +67,7 @@
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
-class SeenReport:
+class TimestampedReport:
     """An engine's report and the monotonic time that it describes, in seconds."""
 
     report: EngineReport
--- a/celerytrail/policies/moving.py
+++ b/celerytrail/policies/moving.py
@@ -35,21 +35,24 @@
 N_ENDING_TOKENS = 100
 
 
-def copy_seconds(run: Run, engine: EngineFacts, *, is_far: bool | None = None) -> float:
+def copy_seconds(
+    run: Run, engine: EngineFacts, *, is_cross_domain: bool | None = None
+) -> float:
     """Return the seconds for which the copy of a run occupies its engine's link.
 
-    ``is_far`` says whether the target is in another failure domain, None if unknown.
+    ``is_cross_domain`` says whether the target is in another failure domain, None if
+    unknown.
     """
     if engine.link_bytes_per_second <= 0:
         return 0.0
     n_bytes = run.n_tokens * engine.token_bytes
     factor = {None: UNKNOWN_DOMAIN_FACTOR, True: CROSS_DOMAIN_FACTOR, False: 1.0}[
-        is_far
+        is_cross_domain
     ]
     return factor * n_bytes / engine.link_bytes_per_second
 
 
-class Turns:
+class MoveQueue:
     """Decides when a run may use the link of the engine that it leaves.
 
     All nodes compute the same order from the same list of runs, so they exchange no
@@ -77,7 +80,7 @@
         self._head: Run | None = None
         self._head_timeout_at = 0.0
 
-    def may_begin(self, runs: Iterable[Run], now: float) -> bool:
+    def can_start(self, runs: Iterable[Run], now: float) -> bool:
         """Return whether the run is first in the queue of its engine's runs."""
         waiting = [run for run in runs if self._is_queued(run)]
         if not waiting:
@@ -96,7 +99,7 @@
         if run.run_id == self._run_id:
             return True
         # A run can't be moved during its prefill.
-        if run.has_copy or run.is_reading:
+        if run.has_copy or run.is_prefilling:
             return False
         return run.run_id not in self._skipped
 
@@ -120,7 +123,7 @@
 
 def _rank(run: Run) -> tuple[bool, float, str]:
     # A run that has exceeded its hint may continue for long.
-    is_ending = 0 <= run.n_expected_tokens - run.n_made_tokens < N_ENDING_TOKENS
+    is_ending = 0 <= run.n_expected_tokens - run.n_generated_tokens < N_ENDING_TOKENS
     n_lost = BASE_TOKENS + run.n_prompt_tokens + OUTPUT_WEIGHT * run.n_expected_tokens
     n_copied = run.n_prompt_tokens + run.n_expected_tokens
     return is_ending, -n_lost / n_copied, run.run_id
--- a/celerytrail/policies/placing.py
+++ b/celerytrail/policies/placing.py
@@ -17,7 +17,7 @@
 
 from ..model import Registration
 from .engineloads import EngineLoad
-from .readrates import DEFAULT_PREFILL_RATE
+from .prefillrates import DEFAULT_PREFILL_RATE
 
 # Largest expected share of an engine's memory in use at any future time. The rest is
 # for outputs that are longer than their hint.
@@ -33,7 +33,7 @@
 # Share of the target for the first token within which the queued prompts and the
 # generation's own must be read. The rest covers network latency, the decode of the
 # first token and engines that are slower than estimated.
-READ_SHARE = 0.65
+PREFILL_SHARE = 0.65
 # All costs are in seconds of waiting for the first token. The expected share of memory
 # in use is multiplied by MEMORY_COST. What exceeds CROWDED_SHARE, where engines begin
 # to be crowded, is multiplied by CROWDED_COST and added.
@@ -55,7 +55,7 @@
 CROSS_DOMAIN_COST = 0.02
 # Cost of another failure domain for a run that is moved. The copy takes twice as long,
 # 0.2 s more, in which the next run could leave an engine that stops within two seconds.
-FAR_MOVE_COST = 1.5
+CROSS_DOMAIN_MOVE_COST = 1.5
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
@@ -66,7 +66,7 @@
     ----------
     n_tokens : int
         Memory that it takes from the start: its prompt and the output made so far.
-    n_reading_tokens : int
+    n_prefill_tokens : int
         Tokens of these that need a prefill.
     n_remaining_tokens : int
         Expected further output.
@@ -74,22 +74,22 @@
         Failure domain of its caller's node, or of the engine that it leaves.
     memory_share : float
         Largest expected share of an engine's memory in use with it.
-    far_cost : float
+    cross_domain_cost : float
         Cost of another failure domain, in seconds.
-    read_rate : float
+    prefill_rate : float
         Prompt tokens that an engine reads per second.
-    read_seconds : float
+    max_prefill_seconds : float
         Time within which the queued prompts and its own must be read.
     """
 
     n_tokens: int
-    n_reading_tokens: int
+    n_prefill_tokens: int
     n_remaining_tokens: int
     failure_domain: str = ""
     memory_share: float = MEMORY_SHARE
-    far_cost: float = CROSS_DOMAIN_COST
-    read_rate: float = DEFAULT_PREFILL_RATE
-    read_seconds: float = math.inf
+    cross_domain_cost: float = CROSS_DOMAIN_COST
+    prefill_rate: float = DEFAULT_PREFILL_RATE
+    max_prefill_seconds: float = math.inf
 
 
 def peak_tokens(sizes: Iterable[tuple[int, int]]) -> int:
@@ -137,10 +137,10 @@
     any engine may still take it, and is refused in time. An engine without a prefill
     in progress accepts any prompt.
     """
-    if load.n_reading_tokens == 0:
+    if load.n_prefill_tokens == 0:
         return True
-    n_reading = load.n_reading_tokens + demand.n_reading_tokens
-    return n_reading / demand.read_rate <= demand.read_seconds
+    n_reading = load.n_prefill_tokens + demand.n_prefill_tokens
+    return n_reading / demand.prefill_rate <= demand.max_prefill_seconds
 
 
 class Obstacle(enum.Enum):
@@ -175,22 +175,22 @@
 
 def cost(load: EngineLoad, demand: Demand) -> float:
     """Return the cost of placing a generation on an engine, in seconds."""
-    n_reading = load.n_reading_tokens + demand.n_reading_tokens
+    n_reading = load.n_prefill_tokens + demand.n_prefill_tokens
     share = expected_memory_share(load, demand)
-    is_far = load.reg.failure_domain != demand.failure_domain
+    is_cross_domain = load.reg.failure_domain != demand.failure_domain
     return (
-        n_reading / demand.read_rate
-        + DELAY_COST * len(load.runs) * demand.n_reading_tokens / demand.read_rate
+        n_reading / demand.prefill_rate
+        + DELAY_COST * len(load.runs) * demand.n_prefill_tokens / demand.prefill_rate
         + MEMORY_COST * share
         + CROWDED_COST * max(0.0, share - CROWDED_SHARE)
         + OUTPUT_COST * demand.n_remaining_tokens * load.token_seconds
         + QUEUE_COST * (load.report.n_queued if load.report else 0)
         + COLD_COST * load.reg.cold_seconds
-        + (demand.far_cost if is_far else 0.0)
+        + (demand.cross_domain_cost if is_cross_domain else 0.0)
     )
 
 
-class Placing(abc.ABC):
+class PlacementPolicy(abc.ABC):
     """Policy that chooses the engine of a generation."""
 
     @abc.abstractmethod
@@ -200,7 +200,7 @@
         """Return the chosen engine, or None if the generation has to wait."""
 
 
-class CheapestPlacing(Placing):
+class LeastCostPlacement(PlacementPolicy):
     """Chooses the least costly engine that can hold a generation to its end."""
 
     def choose(
--- a/celerytrail/policies/readrates.py
+++ b/celerytrail/policies/prefillrates.py
@@ -16,7 +16,7 @@
 MIN_QUEUED_TOKENS = 500
 
 
-class ReadRates:
+class PrefillRates:
     """Estimates the prompt tokens read per second, by service.
 
     Engines differ between deployments and don't report their speed. With a rate that is
@@ -27,7 +27,7 @@
     def __init__(self) -> None:
         self._rates: dict[str, float] = {}
 
-    def note(self, service: str, n_tokens: int, seconds: float) -> None:
+    def record_prefill(self, service: str, n_tokens: int, seconds: float) -> None:
         """Record the time from queueing ``n_tokens`` to the first event after them."""
         if n_tokens < MIN_QUEUED_TOKENS or seconds <= 0:
             return
--- a/celerytrail/policies/retries.py
+++ b/celerytrail/policies/retries.py
@@ -35,7 +35,7 @@
     """Decides whether and when a request that was not run is retried."""
 
     @abc.abstractmethod
-    def first_attempt(self, key: str) -> None:
+    def on_first_attempt(self, key: str) -> None:
         """Record a request's first attempt; ``key`` names the budget that it feeds."""
 
     @abc.abstractmethod
@@ -60,7 +60,7 @@
 class NeverRetry(RetryPolicy):
     """Returns each refusal without a retry; a baseline."""
 
-    def first_attempt(self, key: str) -> None:
+    def on_first_attempt(self, key: str) -> None:
         """Do nothing."""
 
     def decide(
@@ -86,7 +86,7 @@
         self._ratio = ratio
         self._budgets: OrderedDict[str, float] = OrderedDict()
 
-    def first_attempt(self, key: str) -> None:
+    def on_first_attempt(self, key: str) -> None:
         """Add a share of a retry to the budget."""
         budget = self._budgets.get(key, BUDGET_START)
         self._budgets[key] = min(BUDGET_MAX, budget + self._ratio)
--- a/celerytrail/policies/retrybudget.py
+++ b/celerytrail/policies/retrybudget.py
@@ -10,7 +10,7 @@
 USED_SHARE = 0.6
 
 
-class RetryBudget:
+class SharedRetryBudget:
     """Allows retries up to a share of the requests, and a part of a fixed allowance.
 
     When a service fails, retries add load where there is already too much, so all nodes
@@ -27,7 +27,7 @@
         Further retries allowed in a window, by all nodes together.
     window_seconds : float
         Length of the sliding window.
-    heard_share : callable
+    received_share : callable
         Returns the share of all nodes whose announcements this one receives, with
         itself.
     tell : callable
@@ -40,23 +40,23 @@
         ratio: float,
         allowance: float,
         window_seconds: float,
-        heard_share: Callable[[], float],
+        received_share: Callable[[], float],
         tell: Callable[[str], None],
     ) -> None:
         self._ratio = ratio
         self._allowance = allowance
         self._window_seconds = window_seconds
-        self._heard_share = heard_share
+        self._received_share = received_share
         self._tell = tell
         self._requests: dict[str, deque[float]] = {}
         self._retries: dict[str, deque[float]] = {}
         self._all_retries: dict[str, deque[float]] = {}
 
-    def note_request(self, service: str, now: float) -> None:
+    def record_request(self, service: str, now: float) -> None:
         """Count a caller's request for a service."""
         self._recent(self._requests, service, now).append(now)
 
-    def note_other(self, service: str, now: float) -> None:
+    def record_peer_retry(self, service: str, now: float) -> None:
         """Count a retry that another node made."""
         self._recent(self._all_retries, service, now).append(now)
 
@@ -66,7 +66,7 @@
         retries = self._recent(self._retries, service, now)
         all_retries = self._recent(self._all_retries, service, now)
         ratio_limit = USED_SHARE * self._ratio * n_requests
-        allowance_limit = USED_SHARE * self._allowance * self._heard_share()
+        allowance_limit = USED_SHARE * self._allowance * self._received_share()
         if len(retries) + 1 > ratio_limit and len(all_retries) + 1 > allowance_limit:
             return False
         retries.append(now)
--- a/celerytrail/policies/routing.py
+++ b/celerytrail/policies/routing.py
@@ -10,7 +10,7 @@
 import random
 from collections.abc import Sequence
 
-from .engineview import EngineView
+from .enginetracker import EngineView
 from .grants import AdmitRequest
 from .lengths import LengthModel
 
--- a/celerytrail/policies/repeats.py
+++ b/celerytrail/policies/runlistschedule.py
@@ -8,7 +8,7 @@
 from __future__ import annotations
 
 # Minimum time between two lists of one node, in seconds.
-SHORTEST_SECONDS = 0.5
+MIN_LIST_PERIOD_SECONDS = 0.5
 # Most lists per second that one node receives from all others together.
 MAX_LISTS_PER_SECOND = 64.0
 # Empty lists that a node sends after its last run ended. The datagram with the end may
@@ -19,7 +19,7 @@
 EXPIRY_PERIODS = 3.2
 
 
-class Repeats:
+class RunListSchedule:
     """Decides when a node sends the list of its runs.
 
     A node without runs sends none, so the cost depends on the runs in the fleet and not
@@ -30,17 +30,17 @@
     def __init__(self) -> None:
         self._n_empty_remaining = 0
 
-    def period_seconds(self, n_speaking: int) -> float:
+    def period_seconds(self, n_active_nodes: int) -> float:
         """Return the seconds until the next list.
 
         Parameters
         ----------
-        n_speaking : int
+        n_active_nodes : int
             Nodes that are known to have runs.
         """
-        return max(SHORTEST_SECONDS, n_speaking / MAX_LISTS_PER_SECOND)
+        return max(MIN_LIST_PERIOD_SECONDS, n_active_nodes / MAX_LISTS_PER_SECOND)
 
-    def take(self, n_runs: int) -> bool:
+    def count_if_due(self, n_runs: int) -> bool:
         """Return whether a list of ``n_runs`` runs is due, and count it as sent."""
         if n_runs:
             self._n_empty_remaining = N_EMPTY_LISTS
@@ -50,11 +50,11 @@
         self._n_empty_remaining -= 1
         return True
 
-    def note_run(self) -> None:
+    def on_run_announced(self) -> None:
         """Schedule empty lists after an announced run, as its end may be lost."""
         self._n_empty_remaining = N_EMPTY_LISTS
 
 
 def expiry_seconds(period_seconds: float) -> float:
     """Return the seconds after which a run that is no longer listed expires."""
-    return EXPIRY_PERIODS * max(SHORTEST_SECONDS, period_seconds)
+    return EXPIRY_PERIODS * max(MIN_LIST_PERIOD_SECONDS, period_seconds)
--- a/celerytrail/policies/scheduler.py
+++ b/celerytrail/policies/scheduler.py
@@ -17,11 +17,11 @@
 from ..types import NotRun
 from .admission import AdmissionPolicy, PredictedPeak
 from .affinity import AffinityPolicy, BoundedAffinity
-from .engineview import EngineBook, EngineView
+from .enginetracker import EngineTracker, EngineView
 from .fairness import PROMPT_TOKEN_COST, FairQueue, effective_weight
 from .grants import AdmitRequest, GenerationEnd, Grant
 from .lengths import LearnedLengths, LengthModel, prompt_class
-from .reports import EngineReport
+from .loadreports import EngineReport
 from .shedding import ShedByWait, SheddingPolicy
 
 # Between events, forecasts change only as running generations produce tokens; waiting
@@ -94,7 +94,7 @@
     ) -> None:
         self.model = model
         self.home = home
-        self.book = EngineBook()
+        self.tracker = EngineTracker()
         self.lengths = lengths or LearnedLengths()
         self.admission = admission or PredictedPeak(lengths=self.lengths, model=model)
         self.queue = queue or FairQueue()
@@ -126,14 +126,14 @@
 
     def set_engines(self, engines: Sequence[EngineSpec], now: float) -> None:
         """Set the engines of the pool; others are dropped."""
-        self.book.set_engines(engines, now)
+        self.tracker.set_engines(engines, now)
         self._has_changed = True
 
     def report(self, report: EngineReport, now: float, *, age: float = 0.0) -> None:
         """Record an engine's load report that was true ``age`` seconds ago."""
-        view = self.book.views.get(report.engine)
+        view = self.tracker.views.get(report.engine)
         old = view.report if view is not None else None
-        if view is None or not self.book.report(report, now, age=age):
+        if view is None or not self.tracker.report(report, now, age=age):
             return
         if old is not None and old.incarnation != report.incarnation:
             self.affinity.forget(report.engine)
@@ -184,10 +184,10 @@
         Entry nodes request this after `progress` returned False for a grant, which
         happens once the pool's home has moved to another node.
         """
-        if grant.grant_id in self._live or grant.engine not in self.book.views:
+        if grant.grant_id in self._live or grant.engine not in self.tracker.views:
             return
-        self.book.grant(grant.grant_id, grant.engine, req, now, n_tokens=n_tokens)
-        self.book.views[grant.engine].n_changes += 1
+        self.tracker.grant(grant.grant_id, grant.engine, req, now, n_tokens=n_tokens)
+        self.tracker.views[grant.engine].n_changes += 1
         self._live[grant.grant_id] = _LiveGrant(req=req, charged=0.0, n_tokens=n_tokens)
         self._grants[req.request_id] = grant
 
@@ -202,7 +202,7 @@
         live = self._live.get(grant_id)
         if live is None:
             return False
-        self.book.progress(grant_id, n_tokens, now)
+        self.tracker.progress(grant_id, n_tokens, now)
         self._record_tokens(live, n_tokens)
         return True
 
@@ -214,13 +214,15 @@
         if live is None:
             return
         self._grants.pop(live.req.request_id, None)
-        self.book.finish(grant_id, now)
+        self.tracker.finish(grant_id, now)
         organisation = live.req.organisation
         if end != "not_run":
             self._record_tokens(live, n_tokens)
             is_censored = end != "answered" or n_tokens >= live.req.n_max_tokens
             length_class = prompt_class(self.model, live.req.n_prompt_tokens)
-            self.lengths.end(length_class, organisation, n_tokens, censored=is_censored)
+            self.lengths.end(
+                length_class, organisation, n_tokens, is_censored=is_censored
+            )
         cost = n_tokens + PROMPT_TOKEN_COST * live.req.n_prompt_tokens
         self.queue.charge(organisation, (cost if n_tokens else 0.0) - live.charged)
         self._has_changed = True
@@ -273,8 +275,8 @@
 
     def _best_engine(self, req: AdmitRequest, now: float) -> EngineView | None:
         best, best_score = None, 0.0
-        for view in self.book.candidates(req, now):
-            headroom = self.admission.room(view, req, now)
+        for view in self.tracker.candidates(req, now):
+            headroom = self.admission.headroom(view, req, now)
             if headroom < 0:
                 continue
             score = 1.0 + headroom + self.affinity.bonus(view.name, req.prefixes)
@@ -293,7 +295,7 @@
         charged = expected + PROMPT_TOKEN_COST * req.n_prompt_tokens
         self.queue.charge(req.organisation, charged)
         self.admission.granted(view, req, now)
-        self.book.grant(grant.grant_id, view.name, req, now)
+        self.tracker.grant(grant.grant_id, view.name, req, now)
         self.shedding.granted(expected, now)
         self.affinity.stored(view.name, req.prefixes)
         self._live[grant.grant_id] = _LiveGrant(req=req, charged=charged)
@@ -320,7 +322,7 @@
     def _arrival_refusal(self, req: AdmitRequest, now: float) -> NotRun | None:
         backlog, share = self._backlog_and_share(req)
         patience = req.queue_deadline - now
-        return self.shedding.judge(
+        return self.shedding.refusal_on_arrival(
             backlog=backlog, share=share, patience=patience, now=now
         )
 
@@ -349,7 +351,7 @@
 
     def _end_silent_grants(self, now: float) -> None:
         self._swept_at = now
-        for grant_id in list(self.book.silent_grants(now)):
+        for grant_id in list(self.tracker.silent_grants(now)):
             live = self._live.get(grant_id)
             self.finish(grant_id, live.n_tokens if live else 0, "lost", now)
 
@@ -358,7 +360,7 @@
             grant_id
             for grant_id, live in self._live.items()
             if self._grants[live.req.request_id].engine == engine
-            and self.book.view_of(grant_id) is None
+            and self.tracker.view_of(grant_id) is None
         ]
         for grant_id in lost_ids:
             live = self._live.pop(grant_id)
--- a/celerytrail/policies/shedding.py
+++ b/celerytrail/policies/shedding.py
@@ -20,7 +20,7 @@
 # request is refused on arrival only if the forecast exceeds its patience by more.
 WAIT_ERROR_FACTOR = 3.0
 # The drain rate is unknown until this many requests have been granted.
-N_COLD_GRANTS = 20
+N_WARMUP_GRANTS = 20
 RETRY_AFTER_MIN = 0.5
 RETRY_AFTER_MAX = 120.0
 # Retry times are extended by up to this share, so that callers refused at the same
@@ -32,7 +32,7 @@
     """Decides which requests are refused, and when to retry them."""
 
     @abc.abstractmethod
-    def judge(
+    def refusal_on_arrival(
         self, *, backlog: float, share: float, patience: float, now: float
     ) -> NotRun | None:
         """Return a refusal for an arriving request, or None to queue it.
@@ -75,11 +75,11 @@
         self._rate_at = 0.0
         self._n_granted = 0
 
-    def judge(
+    def refusal_on_arrival(
         self, *, backlog: float, share: float, patience: float, now: float
     ) -> NotRun | None:
         """Refuse if the wait exceeds the patience by more than the forecast's error."""
-        if self._n_granted < N_COLD_GRANTS:
+        if self._n_granted < N_WARMUP_GRANTS:
             return None
         wait = self._expected_wait(backlog, share, now)
         if wait <= patience * WAIT_ERROR_FACTOR:
--- a/celerytrail/relay/calls.py
+++ b/celerytrail/relay/calls.py
@@ -12,7 +12,7 @@
 from ..model import Registration, RouteKind
 from ..platform import wire
 from ..policies.endpointchoice import EndpointChoice
-from ..policies.retrybudget import RetryBudget
+from ..policies.retrybudget import SharedRetryBudget
 from .exchange import CallerDisconnectedError, Exchange, refuse
 from .registry import Registry
 
@@ -88,7 +88,7 @@
         Lists them.
     choice : EndpointChoice
         Chooses among them.
-    budget : RetryBudget
+    budget : SharedRetryBudget
         Bounds repeated requests.
     """
 
@@ -98,7 +98,7 @@
         client: HttpClient,
         registry: Registry,
         choice: EndpointChoice,
-        budget: RetryBudget,
+        budget: SharedRetryBudget,
     ) -> None:
         self._client = client
         self._registry = registry
@@ -109,7 +109,7 @@
     async def relay(self, ex: Exchange) -> None:
         """Answer a request with the answer of an endpoint of its service."""
         now = asyncio.get_running_loop().time()
-        self._budget.note_request(ex.service, now)
+        self._budget.record_request(ex.service, now)
         try:
             if ex.route.kind is RouteKind.IDEMPOTENT:
                 outcome = await ex.run_while_connected(self._send_repeatable(ex))
--- a/celerytrail/relay/engineplacer.py
+++ b/celerytrail/relay/engineplacer.py
@@ -8,9 +8,9 @@
 
 from ..model import Registration
 from ..policies import moving, placing
+from ..policies.decodetimes import DecodeTimes
 from ..policies.engineloads import EngineLoad, EngineLoads
-from ..policies.paces import Paces
-from ..policies.readrates import ReadRates
+from ..policies.prefillrates import PrefillRates
 from .liverun import LiveRun, Prefill
 from .peerupdates import PeerUpdates
 from .registry import Registry
@@ -36,15 +36,15 @@
         The runs that all nodes have placed.
     peer_updates : PeerUpdates
         Announces runs to the other nodes.
-    paces : Paces
+    decode_times : DecodeTimes
         Decode speed of each engine.
     failure_domain : str
         The failure domain of this node.
     rng : random.Random
         Breaks ties.
-    policy : Placing
+    policy : PlacementPolicy
         Chooses among the engines.
-    rates : ReadRates
+    rates : PrefillRates
         Prefill speed of the engines of each service.
     """
 
@@ -54,16 +54,16 @@
         registry: Registry,
         loads: EngineLoads,
         peer_updates: PeerUpdates,
-        paces: Paces,
+        decode_times: DecodeTimes,
         failure_domain: str,
         rng: random.Random,
-        policy: placing.Placing,
-        rates: ReadRates,
+        policy: placing.PlacementPolicy,
+        rates: PrefillRates,
     ) -> None:
         self._registry = registry
         self._loads = loads
         self._sharing = peer_updates
-        self._paces = paces
+        self._decode_times = decode_times
         self._failure_domain = failure_domain
         self._rng = rng
         self._placing = policy
@@ -110,18 +110,20 @@
         ]
         now = asyncio.get_running_loop().time()
         return [
-            replace(load, token_seconds=self._paces.token_seconds(load.reg.endpoint))
-            for load in self._loads.loads(idle_loads, now)
+            replace(
+                load, token_seconds=self._decode_times.token_seconds(load.reg.endpoint)
+            )
+            for load in self._loads.estimate(idle_loads, now)
         ]
 
     def _demand(self, live: LiveRun) -> placing.Demand:
         run = live.run
         return placing.Demand(
             n_tokens=run.n_tokens,
-            n_reading_tokens=run.n_prompt_tokens,
+            n_prefill_tokens=run.n_prompt_tokens,
             n_remaining_tokens=run.n_remaining_tokens,
             failure_domain=self._failure_domain,
-            read_rate=self._rates.rate(live.ex.service),
+            prefill_rate=self._rates.rate(live.ex.service),
         )
 
     async def place(self, live: LiveRun, excluded: set[str]) -> Registration | None:
@@ -129,13 +131,13 @@
         ex = live.ex
         loop = asyncio.get_running_loop()
         target = ex.route.target_seconds
-        prefill_deadline = loop.time() + placing.READ_SHARE * target
+        prefill_deadline = loop.time() + placing.PREFILL_SHARE * target
         wait_deadline = min(loop.time() + WAIT_SHARE * target, ex.loop_deadline)
         while True:
             loads = self._engine_loads(live, excluded)
             demand = replace(
                 self._demand(live),
-                read_seconds=max(0.0, prefill_deadline - loop.time()),
+                max_prefill_seconds=max(0.0, prefill_deadline - loop.time()),
             )
             load = self._placing.choose(loads, demand, self._rng)
             if load is not None:
@@ -157,14 +159,14 @@
     ) -> None:
         live.reg = reg
         n_ahead = sum(
-            load.n_reading_tokens for load in loads if load.reg.endpoint == reg.endpoint
+            load.n_prefill_tokens for load in loads if load.reg.endpoint == reg.endpoint
         )
         live.prefill = Prefill(
-            n_queued_tokens=n_ahead + demand.n_reading_tokens,
+            n_queued_tokens=n_ahead + demand.n_prefill_tokens,
             started_at=asyncio.get_running_loop().time(),
         )
         live.backup = self._choose_backup(live, reg, loads, demand)
-        self.announce(live, is_reading=True)
+        self.announce(live, is_prefilling=True)
 
     def _choose_backup(
         self,
@@ -178,7 +180,7 @@
             return None
         others = [
             run
-            for run in self._loads.on_engine(reg.endpoint)
+            for run in self._loads.runs_on_engine(reg.endpoint)
             if run.run_id != live.run.run_id
         ]
         is_needed = moving.needs_backup(live.run, others, live.engine)
@@ -186,7 +188,7 @@
         return copy.reg if copy is not None else None
 
     def announce(
-        self, live: LiveRun, *, is_reading: bool, is_moving: bool = False
+        self, live: LiveRun, *, is_prefilling: bool, is_moving: bool = False
     ) -> None:
         """Announce to the other nodes where a run is."""
         assert live.reg is not None
@@ -194,7 +196,7 @@
             live.run,
             endpoint=live.reg.endpoint,
             backup=live.backup.endpoint if live.backup else "",
-            is_reading=is_reading,
+            is_prefilling=is_prefilling,
             is_moving=is_moving,
         )
         self._sharing.announce_run(live.run)
@@ -204,14 +206,16 @@
         prefill, live.prefill = live.prefill, None
         if prefill is not None:
             seconds = asyncio.get_running_loop().time() - prefill.started_at
-            self._rates.note(live.ex.service, prefill.n_queued_tokens, seconds)
-        self.announce(live, is_reading=False)
+            self._rates.record_prefill(
+                live.ex.service, prefill.n_queued_tokens, seconds
+            )
+        self.announce(live, is_prefilling=False)
 
     def clear_backup(self, live: LiveRun) -> None:
         """Record and announce that a run has no backup any more."""
         live.backup = None
         if live.reg is not None:
-            self.announce(live, is_reading=live.run.is_reading)
+            self.announce(live, is_prefilling=live.run.is_prefilling)
 
     def choose_move_target(
         self, live: LiveRun, source: Registration, excluded: set[str]
@@ -220,9 +224,9 @@
         demand = replace(
             self._demand(live),
             failure_domain=source.failure_domain,
-            n_reading_tokens=0,
+            n_prefill_tokens=0,
             memory_share=placing.MOVE_SHARE,
-            far_cost=placing.FAR_MOVE_COST,
+            cross_domain_cost=placing.CROSS_DOMAIN_MOVE_COST,
         )
         loads = self._engine_loads(live, excluded)
         target = self._placing.choose(loads, demand, self._rng)
--- a/celerytrail/relay/generations.py
+++ b/celerytrail/relay/generations.py
@@ -13,7 +13,7 @@
 from ..model import EngineFacts, Registration
 from ..platform import wire
 from ..policies.engineloads import Run
-from ..policies.retrybudget import RetryBudget
+from ..policies.retrybudget import SharedRetryBudget
 from .engineopener import EngineOpener
 from .engineplacer import EnginePlacer
 from .events import EventSplitter, StreamEvent
@@ -44,7 +44,7 @@
         Moves runs off engines that leave.
     peer_updates : PeerUpdates
         Announces runs to the other nodes.
-    budget : RetryBudget
+    budget : SharedRetryBudget
         Bounds repeated requests.
     rng : random.Random
         Generates run ids.
@@ -57,7 +57,7 @@
         opener: EngineOpener,
         departures: RunMover,
         peer_updates: PeerUpdates,
-        budget: RetryBudget,
+        budget: SharedRetryBudget,
         rng: random.Random,
     ) -> None:
         self._placer = placer
@@ -76,7 +76,7 @@
     async def relay(self, ex: Exchange, engine: EngineFacts) -> None:
         """Answer a request with a generation."""
         now = asyncio.get_running_loop().time()
-        self._budget.note_request(ex.service, now)
+        self._budget.record_request(ex.service, now)
         facts = ex.facts
         n_prompt = max(1, facts.n_prompt_tokens)
         run = Run(
@@ -120,7 +120,7 @@
             self._run_mover.move_if_needed(live)
             if live.run.endpoint:
                 n_made = live.n_events * live.engine.n_event_tokens
-                live.run = replace(live.run, n_made_tokens=n_made)
+                live.run = replace(live.run, n_generated_tokens=n_made)
                 self._sharing.record_progress(live.run)
 
     # Running.
@@ -267,7 +267,7 @@
             live.last_number = number
         if event.event_id is not None:
             live.last_event_id = event.event_id
-        if live.run.is_reading:
+        if live.run.is_prefilling:
             self._placer.on_first_event(live)
             live.ex.observe("relay_first_event")
         live.record_event()
@@ -341,4 +341,4 @@
         live.backup = None
         live.reg = reg
         live.on_engine_changed()
-        self._placer.announce(live, is_reading=False)
+        self._placer.announce(live, is_prefilling=False)
--- a/celerytrail/relay/handler.py
+++ b/celerytrail/relay/handler.py
@@ -170,7 +170,7 @@
         self, res: Responder, facts: CallerFacts, status: int, reason: str
     ) -> None:
         """Refuse with ``status``, or as retryable if the configuration may be stale."""
-        if self._freshness.may_deny:
+        if self._freshness.can_deny:
             await self._refuse(res, facts, status, reason)
         else:
             await self._refuse(
--- a/celerytrail/relay/node.py
+++ b/celerytrail/relay/node.py
@@ -26,14 +26,14 @@
 from ..platform.noderows import NodeRows
 from ..platform.operatorconfig import decode_config
 from ..platform.registrations import decode_registration
+from ..policies.decodetimes import DecodeTimes
 from ..policies.endpointchoice import EndpointChoice
 from ..policies.engineloads import EngineLoads
 from ..policies.freshness import Freshness
-from ..policies.paces import Paces
-from ..policies.placing import CheapestPlacing, Placing
-from ..policies.readrates import ReadRates
+from ..policies.placing import LeastCostPlacement, PlacementPolicy
+from ..policies.prefillrates import PrefillRates
 from ..policies.renewal import RenewalBound
-from ..policies.retrybudget import RetryBudget
+from ..policies.retrybudget import SharedRetryBudget
 from ..rowsource import RowSource
 from ..types import Address
 from .addresses import DirectoryHandler, ReadinessHandler
@@ -100,7 +100,7 @@
         The platform's tables; the store that the settings name by default.
     clock : Clock or None
         The clocks; the VM's by default.
-    placing : Placing or None
+    placing : PlacementPolicy or None
         Chooses the engine for a generation; by cost by default.
     """
 
@@ -112,11 +112,11 @@
         rng: random.Random | None = None,
         store: RowSource | None = None,
         clock: Clock | None = None,
-        placing: Placing | None = None,
+        placing: PlacementPolicy | None = None,
     ) -> None:
         self.cfg = cfg
         self._store = store
-        self._placing = placing or CheapestPlacing()
+        self._placing = placing or LeastCostPlacement()
         self._network = network or SystemNetwork()
         self._rng = rng or random.Random()
         self._clock = clock or SystemClock()
@@ -140,8 +140,8 @@
 
     def _make_table_watches(self) -> None:
         self.registry = Registry(on_leaving=self._on_leaving)
-        self._paces = Paces()
-        self.loads = EngineLoads(token_seconds=self._paces.token_seconds)
+        self._decode_times = DecodeTimes()
+        self.loads = EngineLoads(token_seconds=self._decode_times.token_seconds)
         self.configs = ConfigSink(
             key=storewire.CONFIG_KEY, decode=decode_config, on_change=self._on_config
         )
@@ -294,18 +294,18 @@
         self.peer_updates = PeerUpdates(
             node=self.node_id,
             loads=self.loads,
-            paces=self._paces,
+            decode_times=self._decode_times,
             peers=self._update_addresses,
             on_leaving=self.registry.record_leaving,
             on_retried=self._on_retried,
             on_aborted=self._on_aborted,
             rng=self._rng,
         )
-        self._budget = budget = RetryBudget(
+        self._budget = budget = SharedRetryBudget(
             ratio=cfg.retry_ratio,
             allowance=cfg.retry_slack,
             window_seconds=cfg.retry_window_seconds,
-            heard_share=self._reachable_share,
+            received_share=self._reachable_share,
             tell=self.peer_updates.announce_retry,
         )
         self.endpoints = HttpClient(
@@ -321,11 +321,11 @@
             registry=self.registry,
             loads=self.loads,
             peer_updates=self.peer_updates,
-            paces=self._paces,
+            decode_times=self._decode_times,
             failure_domain=cfg.failure_domain,
             rng=self._rng,
             policy=self._placing,
-            rates=ReadRates(),
+            rates=PrefillRates(),
         )
         opener = EngineOpener(client=self.endpoints)
         departures = RunMover(
@@ -515,7 +515,7 @@
 
     def _on_leaving(self, reg: Registration) -> None:
         log_message("relay:endpoint:leaving", endpoint=reg.endpoint)
-        self.loads.forget_report(reg.endpoint)
+        self.loads.discard_report(reg.endpoint)
         self.generations.on_leaving(reg)
 
     def _has_stale_registrations(self) -> bool:
@@ -532,10 +532,10 @@
         return len(running) / max(1, len(known))
 
     def _on_retried(self, service: str) -> None:
-        self._budget.note_other(service, asyncio.get_running_loop().time())
+        self._budget.record_peer_retry(service, asyncio.get_running_loop().time())
 
     def _on_aborted(self, endpoint: str) -> None:
-        self._choice.hear_broken(endpoint, asyncio.get_running_loop().time())
+        self._choice.record_peer_failure(endpoint, asyncio.get_running_loop().time())
 
     def _update_addresses(self) -> list[Address]:
         port = self.cfg.peer_ports[0]
--- a/celerytrail/relay/peerupdates.py
+++ b/celerytrail/relay/peerupdates.py
@@ -12,9 +12,9 @@
 from ..http.network import Network
 from ..model import EngineReport
 from ..nodes.gossip import DATAGRAM_HEAD_BYTES
+from ..policies.decodetimes import DecodeTimes
 from ..policies.engineloads import EngineLoads, Run
-from ..policies.paces import Paces
-from ..policies.repeats import SHORTEST_SECONDS, Repeats
+from ..policies.runlistschedule import MIN_LIST_PERIOD_SECONDS, RunListSchedule
 from ..types import Address
 
 # Largest relative deviation of the time to the next full update from its period, so
@@ -32,8 +32,8 @@
     n_prompt_tokens: int
     n_expected_tokens: int
     backup: str
-    is_reading: bool
-    n_made_tokens: int = 0
+    is_prefilling: bool
+    n_generated_tokens: int = 0
     is_moving: bool = False
 
 
@@ -64,7 +64,7 @@
     retried: list[str] = []
     reports: list[ReportEntry] = []
     aborted: list[str] = []
-    period_seconds: float = SHORTEST_SECONDS
+    period_seconds: float = MIN_LIST_PERIOD_SECONDS
 
 
 class PeerUpdates(asyncio.DatagramProtocol):
@@ -76,7 +76,7 @@
         This node's name, new at each start.
     loads : EngineLoads
         Holds the runs and load reports of all nodes.
-    paces : Paces
+    decode_times : DecodeTimes
         Learns token rates from the progress of runs.
     peers : callable
         Returns the addresses at which the other nodes receive updates.
@@ -95,7 +95,7 @@
         *,
         node: str,
         loads: EngineLoads,
-        paces: Paces,
+        decode_times: DecodeTimes,
         peers: Callable[[], Iterable[Address]],
         on_leaving: Callable[[str], None],
         on_retried: Callable[[str], None],
@@ -104,15 +104,15 @@
     ) -> None:
         self._node = node
         self._loads = loads
-        self._paces = paces
+        self._decode_times = decode_times
         self._peers = peers
         self._on_leaving = on_leaving
         self._on_retried = on_retried
         self._on_aborted = on_aborted
         self._rng = rng
-        self._repeats = Repeats()
+        self._list_schedule = RunListSchedule()
         # Sent with each update, so that no receiver forgets a run before the next one.
-        self._period_seconds = SHORTEST_SECONDS
+        self._period_seconds = MIN_LIST_PERIOD_SECONDS
         self._transport: asyncio.DatagramTransport | None = None
         self._decoder = msgspec.msgpack.Decoder(NodeUpdate)
         self.n_sent = 0
@@ -127,7 +127,9 @@
         while True:
             jitter = self._rng.uniform(1.0 - PERIOD_JITTER, 1.0 + PERIOD_JITTER)
             await asyncio.sleep(jitter * self._period_seconds)
-            self._period_seconds = self._repeats.period_seconds(self._loads.n_speaking)
+            self._period_seconds = self._list_schedule.period_seconds(
+                self._loads.n_active_nodes
+            )
             self._send_all_runs()
 
     def close(self) -> None:
@@ -142,19 +144,19 @@
 
     def announce_run(self, run: Run) -> None:
         """Announce a run that this node placed, or a change of it."""
-        self._repeats.note_run()
-        self._loads.put(self._node, run, self._now())
+        self._list_schedule.on_run_announced()
+        self._loads.put_run(self._node, run, self._now())
         self._send(self._make_update([run]))
 
     def record_progress(self, run: Run) -> None:
         """Record the progress of a run, which the next full update carries."""
-        self._paces.note(run, self._now())
-        self._loads.put(self._node, run, self._now())
+        self._decode_times.record_progress(run, self._now())
+        self._loads.put_run(self._node, run, self._now())
 
     def announce_end(self, run_id: str) -> None:
         """Announce that a run ended."""
-        self._loads.end(self._node, run_id, self._now())
-        self._paces.forget(run_id)
+        self._loads.remove_run(self._node, run_id, self._now())
+        self._decode_times.forget(run_id)
         self._send(NodeUpdate(node=self._node, ended=[run_id]))
 
     def announce_leaving(self, endpoint: str) -> None:
@@ -171,7 +173,7 @@
 
     def announce_report(self, endpoint: str, report: EngineReport) -> None:
         """Announce the load that an engine reported."""
-        self._loads.note_report(endpoint, report)
+        self._loads.record_report(endpoint, report)
         entry = ReportEntry(
             endpoint=endpoint,
             n_queued=report.n_queued,
@@ -193,23 +195,23 @@
         now = self._now()
         runs = [_run_from(entry) for entry in update.runs]
         for run in runs:
-            self._paces.note(run, now)
+            self._decode_times.record_progress(run, now)
         if update.is_complete:
-            self._loads.replace(
+            self._loads.replace_runs(
                 update.node, runs, now, period_seconds=update.period_seconds
             )
         else:
             for run in runs:
-                self._loads.put(
+                self._loads.put_run(
                     update.node, run, now, period_seconds=update.period_seconds
                 )
         for run_id in update.ended:
-            self._loads.end(update.node, run_id, now)
-            self._paces.forget(run_id)
+            self._loads.remove_run(update.node, run_id, now)
+            self._decode_times.forget(run_id)
         for endpoint in update.leaving:
             self._on_leaving(endpoint)
         for report in update.reports:
-            self._loads.note_report(report.endpoint, _report_from(report))
+            self._loads.record_report(report.endpoint, _report_from(report))
         for service in update.retried:
             self._on_retried(service)
         for endpoint in update.aborted:
@@ -224,8 +226,8 @@
         )
 
     def _send_all_runs(self) -> None:
-        runs = self._loads.of_node(self._node)
-        if not self._repeats.take(len(runs)):
+        runs = self._loads.runs_of_node(self._node)
+        if not self._list_schedule.count_if_due(len(runs)):
             return
         if len(runs) <= MAX_RUNS_PER_DATAGRAM:
             self._send(self._make_update(runs, is_complete=True))
@@ -255,8 +257,8 @@
         n_prompt_tokens=run.n_prompt_tokens,
         n_expected_tokens=run.n_expected_tokens,
         backup=run.backup,
-        is_reading=run.is_reading,
-        n_made_tokens=run.n_made_tokens,
+        is_prefilling=run.is_prefilling,
+        n_generated_tokens=run.n_generated_tokens,
         is_moving=run.is_moving,
     )
 
@@ -277,7 +279,7 @@
         n_prompt_tokens=entry.n_prompt_tokens,
         n_expected_tokens=entry.n_expected_tokens,
         backup=entry.backup,
-        is_reading=entry.is_reading,
-        n_made_tokens=entry.n_made_tokens,
+        is_prefilling=entry.is_prefilling,
+        n_generated_tokens=entry.n_generated_tokens,
         is_moving=entry.is_moving,
     )
--- a/celerytrail/relay/runmover.py
+++ b/celerytrail/relay/runmover.py
@@ -200,9 +200,11 @@
     async def _await_turn(self, live: LiveRun, source: Registration) -> None:
         """Wait until the moves ahead of this one are done or skipped."""
         loop = asyncio.get_running_loop()
-        turns = moving.Turns(run_id=live.run.run_id, engine=live.engine)
+        turns = moving.MoveQueue(run_id=live.run.run_id, engine=live.engine)
         while live.reg == source:
-            if turns.may_begin(self._loads.on_engine(source.endpoint), loop.time()):
+            if turns.can_start(
+                self._loads.runs_on_engine(source.endpoint), loop.time()
+            ):
                 break
             await asyncio.sleep(TURN_POLL_SECONDS)
 
@@ -225,7 +227,7 @@
             # Announced first, so that the other nodes count the memory as taken before
             # the run arrives.
             live.backup = target
-            self._placer.announce(live, is_reading=False, is_moving=True)
+            self._placer.announce(live, is_prefilling=False, is_moving=True)
             copied = await self._copy_and_stop(live, source, target, deadline)
             if isinstance(copied, Ok):
                 return copied.ok_value
@@ -241,8 +243,10 @@
         leaves_at = self._leaves_at.get(source.endpoint)
         if leaves_at is None:
             return True
-        is_far = source.failure_domain != target.failure_domain
-        seconds = moving.copy_seconds(live.run, live.engine, is_far=is_far)
+        is_cross_domain = source.failure_domain != target.failure_domain
+        seconds = moving.copy_seconds(
+            live.run, live.engine, is_cross_domain=is_cross_domain
+        )
         return asyncio.get_running_loop().time() + seconds < leaves_at
 
     async def _fetch_shutdown_time(self, reg: Registration) -> None:
--- a/celerytrail/services/endpoints.py
+++ b/celerytrail/services/endpoints.py
@@ -17,7 +17,7 @@
 from ..http.client import HttpClient
 from ..leaving import LeavingBoard
 from ..metrics import Metrics
-from ..policies.reports import EndpointReport
+from ..policies.loadreports import EndpointReport
 from ..types import Address
 
 POLL_INTERVAL_SECONDS = 1.0
--- a/standins/batch.py
+++ b/standins/batch.py
@@ -16,7 +16,7 @@
 from collections import OrderedDict
 
 from celerytrail.engines.prefixes import estimate_tokens, prefix_hashes
-from celerytrail.policies.reports import EngineReport
+from celerytrail.policies.loadreports import EngineReport
 
 LENGTH_MARK = re.compile(r"\[length=(\d+)\]")
 MEDIAN_TOKENS = 120
--- a/standins/modelworker.py
+++ b/standins/modelworker.py
@@ -181,8 +181,12 @@
         target.model.copies[name] = n_tokens
         spec = self.model.spec
         n_bytes = (n_tokens - n_before) * spec.token_bytes
-        is_far = target.failure_domain != self.failure_domain
-        seconds = n_bytes / spec.link_bytes_per_second * (FAR_FACTOR if is_far else 1)
+        is_cross_domain = target.failure_domain != self.failure_domain
+        seconds = (
+            n_bytes
+            / spec.link_bytes_per_second
+            * (FAR_FACTOR if is_cross_domain else 1)
+        )
         ends_at = Link.take(self.link, target.link, n_bytes, seconds, loop.time())
         await asyncio.sleep(ends_at - loop.time())
         if target.is_dead or self.is_dead:
--- a/tests/callers_rig.py
+++ b/tests/callers_rig.py
@@ -28,7 +28,7 @@
 from celerytrail.http.routes import Router
 from celerytrail.http.server import HttpServer
 from celerytrail.metrics import Metrics
-from celerytrail.policies.admitters import LocalAdmitter
+from celerytrail.policies.localadmitter import LocalAdmitter
 from celerytrail.policies.retries import BudgetedRetry
 from celerytrail.types import Address
 from standins.batch import Batch, token_text
--- a/tests/homesrig.py
+++ b/tests/homesrig.py
@@ -23,7 +23,7 @@
 from celerytrail.nodes.signing import PeerKeys
 from celerytrail.policies.grants import AdmitRequest
 from celerytrail.policies.lengths import LearnedLengths
-from celerytrail.policies.reports import EngineReport
+from celerytrail.policies.loadreports import EngineReport
 from celerytrail.policies.routing import PowerOfTwo
 from celerytrail.types import Address
 from scenarios.memorynetwork import Wires
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -8,10 +8,10 @@
 
 from celerytrail.configuration.document import EngineSpec
 from celerytrail.policies.admission import AlwaysAdmit, PredictedPeak
-from celerytrail.policies.engineview import EngineBook
+from celerytrail.policies.enginetracker import EngineTracker
 from celerytrail.policies.grants import AdmitRequest
 from celerytrail.policies.lengths import LearnedLengths, prompt_class
-from celerytrail.policies.reports import EngineReport
+from celerytrail.policies.loadreports import EngineReport
 
 
 def make_request(number: int = 0, **fields) -> AdmitRequest:
@@ -33,8 +33,8 @@
 
 
 @pytest.fixture
-def tracker() -> EngineBook:
-    tracker = EngineBook()
+def tracker() -> EngineTracker:
+    tracker = EngineTracker()
     spec = EngineSpec(name="e0", address="", failure_domain="a", model="m")
     tracker.set_engines([spec], 0.0)
     tracker.report(make_report(1), 0.0)
@@ -49,7 +49,7 @@
     for _ in range(300):
         n_tokens = int(rng.lognormvariate(7, 0.6))
         lengths.advance(length_class, "o", 0, n_tokens)
-        lengths.end(length_class, "o", n_tokens, censored=False)
+        lengths.end(length_class, "o", n_tokens, is_censored=False)
     return lengths
 
 
@@ -57,7 +57,7 @@
     view = tracker.views["e0"]
     for n in range(max_grants):
         req = make_request(n)
-        if policy.room(view, req, 1.0) < 0:
+        if policy.headroom(view, req, 1.0) < 0:
             return n
         policy.granted(view, req, 1.0)
         tracker.grant(f"g{n}", "e0", req, 1.0)
@@ -96,7 +96,7 @@
             tracker.progress(grant_id, 500, 2.0)
         tracker.report(make_report(2, n_used_tokens=600), 3.0, age=0.5)
         assert view.n_underreports == 1
-        assert policy.room(view, make_request(999), 3.0) < 0
+        assert policy.headroom(view, make_request(999), 3.0) < 0
 
     def test_other_nodes_generations_are_taken_from_the_report(self, tracker):
         running = (("x1", 300), ("x2", 500))
--- a/tests/test_leaving.py
+++ b/tests/test_leaving.py
@@ -10,7 +10,7 @@
 
 from celerytrail.configuration.document import Document, EndpointSpec, VersionedDocument
 from celerytrail.leaving import LeavingBoard
-from celerytrail.policies.reports import EndpointReport
+from celerytrail.policies.loadreports import EndpointReport
 from celerytrail.services.endpoints import EndpointView, choose
 from tests.servicefakes import BOOKINGS, World, word
 
--- a/tests/test_lengths.py
+++ b/tests/test_lengths.py
@@ -9,9 +9,11 @@
 from celerytrail.policies.lengths import COLD_HAZARDS, Curve, LearnedLengths
 
 
-def learn(lengths: LearnedLengths, n_tokens: int, *, organisation="o", censored=False):
+def learn(
+    lengths: LearnedLengths, n_tokens: int, *, organisation="o", is_censored=False
+):
     lengths.advance("m", organisation, 0, n_tokens)
-    lengths.end("m", organisation, n_tokens, censored=censored)
+    lengths.end("m", organisation, n_tokens, is_censored=is_censored)
 
 
 class TestLearnedLengths:
@@ -48,7 +50,7 @@
         lengths = LearnedLengths()
         for _ in range(1000):
             learn(lengths, 2000)
-            learn(lengths, 200, censored=True)
+            learn(lengths, 200, is_censored=True)
         assert lengths.expected_residual("m", "o", 0) > 1500
 
     def test_drift_is_learned_within_a_hundred_generations(self):
--- a/tests/test_orders.py
+++ b/tests/test_orders.py
@@ -25,7 +25,7 @@
 from celerytrail.orders.order import Order, compare, may_begin_roll
 from celerytrail.orders.pacing import LoadPacer
 from celerytrail.orders.reconciler import EngineReconciler
-from celerytrail.policies.reports import EngineReport, SeenReport
+from celerytrail.policies.loadreports import EngineReport, TimestampedReport
 from tests.fakes import FakeTable
 
 SPEC = EngineSpec(
@@ -90,7 +90,9 @@
             return self.old_reports
         state = {name: report(**values) for name, values in self.state.items()}
         at = self.clock.monotonic()
-        return {name: SeenReport(report=rep, at=at) for name, rep in state.items()}
+        return {
+            name: TimestampedReport(report=rep, at=at) for name, rep in state.items()
+        }
 
     async def request(self, address, method, path, **kwargs):
         self.n_sent += 1
--- a/tests/test_orders_sockets.py
+++ b/tests/test_orders_sockets.py
@@ -23,7 +23,7 @@
 from celerytrail.orders.reconciler import EngineReconciler, table_head_version
 from celerytrail.platform.client import PlatformClient
 from celerytrail.platform.table import HttpTable, Put, Transaction
-from celerytrail.policies.reports import EngineReport, SeenReport
+from celerytrail.policies.loadreports import EngineReport, TimestampedReport
 from celerytrail.types import Address
 from standins.batch import Batch
 from standins.engine import serve
@@ -76,7 +76,9 @@
             rng=rng,
         )
         for _ in range(300):
-            seen["e1"] = SeenReport(report=await read_report(), at=clock.monotonic())
+            seen["e1"] = TimestampedReport(
+                report=await read_report(), at=clock.monotonic()
+            )
             await reconciler.step()
             if seen["e1"].report.version == "2":
                 break
--- a/tests/test_relay_decisions.py
+++ b/tests/test_relay_decisions.py
@@ -9,17 +9,17 @@
 
 from celerytrail.model import EndpointState, EngineFacts, EngineReport, Registration
 from celerytrail.policies import moving, placing
+from celerytrail.policies.decodetimes import DEFAULT_TOKEN_SECONDS, DecodeTimes
 from celerytrail.policies.endpointchoice import EndpointChoice
 from celerytrail.policies.engineloads import EngineLoad, EngineLoads, Run
-from celerytrail.policies.paces import DEFAULT_TOKEN_SECONDS, Paces
-from celerytrail.policies.readrates import DEFAULT_PREFILL_RATE, ReadRates
-from celerytrail.policies.repeats import (
+from celerytrail.policies.prefillrates import DEFAULT_PREFILL_RATE, PrefillRates
+from celerytrail.policies.retrybudget import USED_SHARE, SharedRetryBudget
+from celerytrail.policies.runlistschedule import (
     MAX_LISTS_PER_SECOND,
+    MIN_LIST_PERIOD_SECONDS,
     N_EMPTY_LISTS,
-    SHORTEST_SECONDS,
-    Repeats,
+    RunListSchedule,
 )
-from celerytrail.policies.retrybudget import USED_SHARE, RetryBudget
 from celerytrail.relay.events import EventSplitter
 from celerytrail.relay.registry import LAPSE_GRACE_SECONDS, Registry
 from celerytrail.types import Address
@@ -32,7 +32,7 @@
     can_move=True,
     can_back_up=True,
 )
-CHEAPEST = placing.CheapestPlacing()
+CHEAPEST = placing.LeastCostPlacement()
 
 
 def registration(endpoint: str, **more: object) -> Registration:
@@ -54,7 +54,7 @@
         "endpoint": endpoint,
         "n_prompt_tokens": 3_000,
         "n_expected_tokens": 900,
-        "is_reading": False,
+        "is_prefilling": False,
         **more,
     }
     return Run(**fields)  # type: ignore[arg-type]
@@ -70,7 +70,7 @@
 
 
 DEMAND = placing.Demand(
-    n_tokens=3_000, n_reading_tokens=3_000, n_remaining_tokens=900, failure_domain="a"
+    n_tokens=3_000, n_prefill_tokens=3_000, n_remaining_tokens=900, failure_domain="a"
 )
 
 
@@ -98,7 +98,7 @@
             chosen = CHEAPEST.choose(loads, DEMAND, rng)
             assert chosen is not None
             name = chosen.reg.endpoint
-            placed[name].append(draft(f"r{number}", name, is_reading=True))
+            placed[name].append(draft(f"r{number}", name, is_prefilling=True))
         assert [len(runs) for runs in placed.values()] == [2] * 6
 
     def test_a_new_empty_engine_does_not_attract_all_drafts(self):
@@ -112,7 +112,7 @@
             chosen = CHEAPEST.choose(loads, DEMAND, rng)
             assert chosen is not None
             name = chosen.reg.endpoint
-            placed[name].append(draft(f"r{number}", name, is_reading=True))
+            placed[name].append(draft(f"r{number}", name, is_prefilling=True))
         assert len(placed["new"]) <= 2
 
     def test_no_engine_is_chosen_if_memory_would_be_exhausted(self):
@@ -122,7 +122,9 @@
         assert CHEAPEST.choose([full], DEMAND, random.Random(1)) is None
 
     def test_a_moved_run_may_use_memory_that_new_runs_may_not(self):
-        nearly_full = load("e1", *(draft(f"r{n}", n_made_tokens=400) for n in range(7)))
+        nearly_full = load(
+            "e1", *(draft(f"r{n}", n_generated_tokens=400) for n in range(7))
+        )
         moved = replace(DEMAND, memory_share=placing.MOVE_SHARE, n_remaining_tokens=350)
         assert not placing.fits(nearly_full, replace(DEMAND, n_remaining_tokens=350))
         assert placing.fits(nearly_full, moved)
@@ -170,13 +172,13 @@
         # Each prefill on an engine with five drafts delays all five; callers see every
         # draft take seconds longer. The questions have to go to the engine with few
         # drafts, although their prefills make it look as busy as the others.
-        question = replace(DEMAND, n_tokens=2_550, n_reading_tokens=2_550)
+        question = replace(DEMAND, n_tokens=2_550, n_prefill_tokens=2_550)
         question = replace(question, n_remaining_tokens=16)
         drafting = [
             load(f"e{n}", *(draft(f"x{n}{k}") for k in range(5))) for n in (1, 2)
         ]
         asked = draft("q", "e3", n_prompt_tokens=2_550, n_expected_tokens=16)
-        quiet = load("e3", replace(asked, is_reading=True), draft("x3"))
+        quiet = load("e3", replace(asked, is_prefilling=True), draft("x3"))
         chosen = CHEAPEST.choose([*drafting, quiet], question, random.Random(1))
         assert chosen is not None and chosen.reg.endpoint == "e3"
 
@@ -194,43 +196,49 @@
 
 class TestDecodeTimes:
     def test_a_slow_engine_is_detected_by_the_progress_of_its_runs(self):
-        paces = Paces()
+        decode_times = DecodeTimes()
         for step in range(20):
             now = step * 0.5
-            paces.note(draft("a", "fast", n_made_tokens=1 + step * 50), now)
-            paces.note(draft("b", "slow", n_made_tokens=1 + step * 25), now)
-        assert paces.token_seconds("fast") == pytest.approx(0.010)
-        assert paces.token_seconds("slow") == pytest.approx(0.020)
+            decode_times.record_progress(
+                draft("a", "fast", n_generated_tokens=1 + step * 50), now
+            )
+            decode_times.record_progress(
+                draft("b", "slow", n_generated_tokens=1 + step * 25), now
+            )
+        assert decode_times.token_seconds("fast") == pytest.approx(0.010)
+        assert decode_times.token_seconds("slow") == pytest.approx(0.020)
 
     def test_samples_in_quick_succession_are_ignored(self):
-        paces = Paces()
-        paces.note(draft("a", "e1", n_made_tokens=10), 0.0)
-        paces.note(draft("a", "e1", n_made_tokens=10), 0.01)
-        assert paces.token_seconds("e1") == DEFAULT_TOKEN_SECONDS
+        decode_times = DecodeTimes()
+        decode_times.record_progress(draft("a", "e1", n_generated_tokens=10), 0.0)
+        decode_times.record_progress(draft("a", "e1", n_generated_tokens=10), 0.01)
+        assert decode_times.token_seconds("e1") == DEFAULT_TOKEN_SECONDS
 
     def test_a_move_to_another_engine_discards_the_sample(self):
-        paces = Paces()
-        paces.note(draft("a", "e1", n_made_tokens=10), 0.0)
-        paces.note(draft("a", "e2", n_made_tokens=500), 0.5)
-        assert paces.token_seconds("e2") == DEFAULT_TOKEN_SECONDS
+        decode_times = DecodeTimes()
+        decode_times.record_progress(draft("a", "e1", n_generated_tokens=10), 0.0)
+        decode_times.record_progress(draft("a", "e2", n_generated_tokens=500), 0.5)
+        assert decode_times.token_seconds("e2") == DEFAULT_TOKEN_SECONDS
 
     def test_a_run_without_progress_marks_its_engine_as_slow(self):
-        paces = Paces()
+        decode_times = DecodeTimes()
         for step in range(10):
-            paces.note(draft("a", "e1", n_made_tokens=10), float(step))
-        assert paces.token_seconds("e1") == pytest.approx(0.05)
+            decode_times.record_progress(
+                draft("a", "e1", n_generated_tokens=10), float(step)
+            )
+        assert decode_times.token_seconds("e1") == pytest.approx(0.05)
 
 
 class TestMoving:
     # Each run has a longer expected output than the one before, and more of it made.
     RUNS = [
-        draft(f"r{n}", n_expected_tokens=600 + n * 300, n_made_tokens=n * 100)
+        draft(f"r{n}", n_expected_tokens=600 + n * 300, n_generated_tokens=n * 100)
         for n in range(4)
     ]
 
     @staticmethod
-    def may_begin(run_id: str, runs: list[Run]) -> bool:
-        return moving.Turns(run_id=run_id, engine=ENGINE).may_begin(runs, 0.0)
+    def can_start(run_id: str, runs: list[Run]) -> bool:
+        return moving.MoveQueue(run_id=run_id, engine=ENGINE).can_start(runs, 0.0)
 
     def test_runs_are_moved_one_at_a_time_costliest_loss_first(self):
         # An engine with four drafts stops 1.6 s after its notice. When all moves
@@ -241,7 +249,7 @@
         order = []
         while remaining:
             due = [
-                run.run_id for run in remaining if self.may_begin(run.run_id, remaining)
+                run.run_id for run in remaining if self.can_start(run.run_id, remaining)
             ]
             assert len(due) == 1
             order += due
@@ -252,19 +260,19 @@
         # A prompt of 6,600 tokens occupies the link for 0.7 s, in which two drafts with
         # an output of the same length could be moved.
         bulky = draft("bulky", n_prompt_tokens=6_600)
-        assert self.may_begin("r0", [bulky, *self.RUNS[:1]])
-        assert not self.may_begin("bulky", [bulky, *self.RUNS[:1]])
+        assert self.can_start("r0", [bulky, *self.RUNS[:1]])
+        assert not self.can_start("bulky", [bulky, *self.RUNS[:1]])
 
     def test_nodes_with_different_progress_data_agree_on_the_order(self):
         # Each node knows the current progress of its own run, and that of the others as
         # of half a second ago. When the order used the progress, two similar runs both
         # started, and the final copy of one queued behind the first copy of the other.
-        first = draft("r1", n_made_tokens=440)
-        first_stale = draft("r1", n_made_tokens=400)
-        second = draft("r2", n_made_tokens=440)
-        second_stale = draft("r2", n_made_tokens=400)
-        first_may_begin = self.may_begin("r1", [first, second_stale])
-        second_may_begin = self.may_begin("r2", [first_stale, second])
+        first = draft("r1", n_generated_tokens=440)
+        first_stale = draft("r1", n_generated_tokens=400)
+        second = draft("r2", n_generated_tokens=440)
+        second_stale = draft("r2", n_generated_tokens=400)
+        first_may_begin = self.can_start("r1", [first, second_stale])
+        second_may_begin = self.can_start("r2", [first_stale, second])
         assert first_may_begin != second_may_begin
 
     def test_a_run_being_moved_stays_first_in_the_queue(self):
@@ -272,8 +280,8 @@
         # next move started before the first was complete.
         moving_run = replace(self.RUNS[3], backup="e2", is_moving=True)
         runs = [*self.RUNS[:3], moving_run]
-        assert self.may_begin("r3", runs)
-        assert not self.may_begin("r2", runs)
+        assert self.can_start("r3", runs)
+        assert not self.can_start("r2", runs)
 
     def test_a_copy_within_its_expected_time_is_not_overtaken(self):
         # A copy to another failure domain takes twice as long as one within a domain.
@@ -281,52 +289,52 @@
         # stopped.
         moving_run = replace(self.RUNS[3], backup="e2", is_moving=True)
         runs = [*self.RUNS[:3], moving_run]
-        queue = moving.Turns(run_id="r2", engine=ENGINE)
-        far = moving.copy_seconds(moving_run, ENGINE, is_far=True)
-        answers = [queue.may_begin(runs, at) for at in (0.0, 0.5 * far, far)]
+        queue = moving.MoveQueue(run_id="r2", engine=ENGINE)
+        far = moving.copy_seconds(moving_run, ENGINE, is_cross_domain=True)
+        answers = [queue.can_start(runs, at) for at in (0.0, 0.5 * far, far)]
         assert answers == [False, False, False]
 
     def test_runs_with_a_copy_elsewhere_are_not_queued(self):
         copied = replace(self.RUNS[3], backup="e2")
-        assert self.may_begin("r2", [*self.RUNS[:3], copied])
+        assert self.can_start("r2", [*self.RUNS[:3], copied])
 
     def test_a_run_in_prefill_does_not_hold_up_others(self):
         # It can't be moved before its first token, which may take another second.
-        reading = replace(self.RUNS[3], is_reading=True)
-        assert self.may_begin("r2", [*self.RUNS[:3], reading])
+        reading = replace(self.RUNS[3], is_prefilling=True)
+        assert self.can_start("r2", [*self.RUNS[:3], reading])
 
     def test_a_run_that_is_about_to_end_goes_last(self):
-        ending = draft("ending", n_made_tokens=870)
-        assert self.may_begin("r3", [ending, *self.RUNS])
+        ending = draft("ending", n_generated_tokens=870)
+        assert self.can_start("r3", [ending, *self.RUNS])
 
     def test_a_run_past_its_hint_does_not_count_as_ending(self):
         # Hints are often far off. If a draft that exceeds its hint counted as about to
         # end, it would be moved last, and be lost with its long output.
-        past = draft("past", n_expected_tokens=1_500, n_made_tokens=1_700)
-        assert self.may_begin("past", [past, *self.RUNS])
+        past = draft("past", n_expected_tokens=1_500, n_generated_tokens=1_700)
+        assert self.can_start("past", [past, *self.RUNS])
 
     def test_a_failed_node_does_not_block_the_queue(self):
         # Its runs stay listed for seconds, but no node moves them.
-        queue = moving.Turns(run_id="r0", engine=ENGINE)
+        queue = moving.MoveQueue(run_id="r0", engine=ENGINE)
         at = 0.0
-        while not queue.may_begin(self.RUNS, at):
+        while not queue.can_start(self.RUNS, at):
             at += 0.005
             assert at < 3.0
         assert at >= moving.START_TIMEOUT_SECONDS
 
     def test_a_failed_node_with_a_copy_in_progress_does_not_block_the_queue(self):
         stuck = replace(self.RUNS[1], backup="e2", is_moving=True)
-        queue = moving.Turns(run_id="r0", engine=ENGINE)
+        queue = moving.MoveQueue(run_id="r0", engine=ENGINE)
         at = 0.0
-        while not queue.may_begin([self.RUNS[0], stuck], at):
+        while not queue.can_start([self.RUNS[0], stuck], at):
             at += 0.005
             assert at < 3.0
 
     def test_the_copy_time_follows_from_the_link_rate(self):
-        run = draft("r", n_made_tokens=1_000)
-        near = moving.copy_seconds(run, ENGINE, is_far=False)
+        run = draft("r", n_generated_tokens=1_000)
+        near = moving.copy_seconds(run, ENGINE, is_cross_domain=False)
         assert near == pytest.approx(4_000 * 18_432 / (2_700 * 125_000))
-        assert moving.copy_seconds(run, ENGINE, is_far=True) == 2 * near
+        assert moving.copy_seconds(run, ENGINE, is_cross_domain=True) == 2 * near
 
     def test_runs_beyond_the_link_capacity_need_copies(self):
         assert not moving.needs_backup(draft("new"), self.RUNS[:1], ENGINE)
@@ -336,11 +344,11 @@
 class TestEngineLoads:
     def test_runs_of_all_nodes_are_grouped_by_engine(self):
         loads = EngineLoads()
-        loads.put("n1", draft("r1", "e1"), 0.0)
-        loads.put("n2", draft("r2", "e1", backup="e2"), 0.0)
+        loads.put_run("n1", draft("r1", "e1"), 0.0)
+        loads.put_run("n2", draft("r2", "e1", backup="e2"), 0.0)
         empty = [load("e1"), load("e2")]
         found = {
-            estimate.reg.endpoint: estimate for estimate in loads.loads(empty, 0.0)
+            estimate.reg.endpoint: estimate for estimate in loads.estimate(empty, 0.0)
         }
         assert len(found["e1"].runs) == 2
         assert [run.run_id for run in found["e2"].copies] == ["r2"]
@@ -350,67 +358,69 @@
         # grows by hundreds of tokens meanwhile, so without extrapolation the load of
         # its engine would be underestimated.
         loads = EngineLoads(token_seconds=lambda endpoint: 0.01)
-        loads.put("n1", draft("r1", "e1", n_made_tokens=100, is_reading=False), 5.0)
-        loads.put("n1", draft("r2", "e1", is_reading=True), 5.0)
-        (found,) = loads.loads([load("e1")], 7.0)
-        assert [run.n_made_tokens for run in found.runs] == [300, 0]
-        assert loads.on_engine("e1")[0].n_made_tokens == 100
+        loads.put_run(
+            "n1", draft("r1", "e1", n_generated_tokens=100, is_prefilling=False), 5.0
+        )
+        loads.put_run("n1", draft("r2", "e1", is_prefilling=True), 5.0)
+        (found,) = loads.estimate([load("e1")], 7.0)
+        assert [run.n_generated_tokens for run in found.runs] == [300, 0]
+        assert loads.runs_on_engine("e1")[0].n_generated_tokens == 100
 
     def test_a_complete_list_makes_up_for_a_lost_end(self):
         # The datagram with a run's end is lost. The run's memory would count as used
         # for good, and callers would be refused while engines are free.
         loads = EngineLoads()
-        loads.put("n1", draft("r1", "e1"), 0.0)
-        loads.replace("n1", [], 1.0)
-        assert loads.on_engine("e1") == []
+        loads.put_run("n1", draft("r1", "e1"), 0.0)
+        loads.replace_runs("n1", [], 1.0)
+        assert loads.runs_on_engine("e1") == []
 
     def test_a_run_that_is_no_longer_listed_expires(self):
         # A node has more runs than fit in one datagram, so no part of its list says
         # that it is complete. When the end of a run was lost, the estimated load of its
         # engine was too high and callers were refused until the node's runs expired.
         loads = EngineLoads()
-        loads.put("n1", draft("ended", "e1"), 0.0)
+        loads.put_run("n1", draft("ended", "e1"), 0.0)
         for at in (0.0, 0.5, 1.0, 1.5, 2.0):
-            loads.put("n1", draft("goes on", "e1"), at)
+            loads.put_run("n1", draft("goes on", "e1"), at)
         loads.expire(2.0, "me")
-        assert [run.run_id for run in loads.on_engine("e1")] == ["goes on"]
+        assert [run.run_id for run in loads.runs_on_engine("e1")] == ["goes on"]
 
     def test_runs_of_a_paused_node_are_kept_for_a_while(self):
         # It may pause for a second or two, while its runs continue at their engines.
         loads = EngineLoads()
-        loads.put("n1", draft("r1", "e1"), 0.0)
+        loads.put_run("n1", draft("r1", "e1"), 0.0)
         loads.expire(3.0, "me")
-        assert [run.run_id for run in loads.on_engine("e1")] == ["r1"]
+        assert [run.run_id for run in loads.runs_on_engine("e1")] == ["r1"]
 
     def test_runs_of_a_silent_node_expire_but_never_one_s_own(self):
         loads = EngineLoads()
-        loads.put("gone", draft("r1", "e1"), 0.0)
-        loads.put("me", draft("r2", "e1"), 0.0)
+        loads.put_run("gone", draft("r1", "e1"), 0.0)
+        loads.put_run("me", draft("r2", "e1"), 0.0)
         loads.expire(60.0, "me")
-        assert [run.run_id for run in loads.on_engine("e1")] == ["r2"]
+        assert [run.run_id for run in loads.runs_on_engine("e1")] == ["r2"]
 
 
 class TestRunListSchedule:
     def test_the_total_list_rate_is_bounded_for_any_number_of_nodes(self):
         # With hundreds of nodes and a fixed period, lists would saturate small links.
-        for n_speaking in (1, 13, 102, 195, 330, 2_000):
-            period = Repeats().period_seconds(n_speaking)
-            assert n_speaking / period <= MAX_LISTS_PER_SECOND
-            assert period >= SHORTEST_SECONDS
+        for n_active_nodes in (1, 13, 102, 195, 330, 2_000):
+            period = RunListSchedule().period_seconds(n_active_nodes)
+            assert n_active_nodes / period <= MAX_LISTS_PER_SECOND
+            assert period >= MIN_LIST_PERIOD_SECONDS
 
     def test_a_node_without_runs_stops_after_some_empty_lists(self):
-        schedule = Repeats()
-        schedule.note_run()
-        assert schedule.take(1)
-        due = [schedule.take(0) for _ in range(5)]
+        schedule = RunListSchedule()
+        schedule.on_run_announced()
+        assert schedule.count_if_due(1)
+        due = [schedule.count_if_due(0) for _ in range(5)]
         assert due == [True] * N_EMPTY_LISTS + [False] * (5 - N_EMPTY_LISTS)
 
     def test_a_run_that_ends_before_the_first_list_causes_empty_lists(self):
         # Short answers end between two lists, and the datagram with the end may be
         # lost.
-        schedule = Repeats()
-        schedule.note_run()
-        assert schedule.take(0)
+        schedule = RunListSchedule()
+        schedule.on_run_announced()
+        assert schedule.count_if_due(0)
 
 
 class TestRegistry:
@@ -465,13 +475,13 @@
 
 
 class TestRetryBudget:
-    def make(self, share: float = 1.0) -> tuple[RetryBudget, list[str]]:
+    def make(self, share: float = 1.0) -> tuple[SharedRetryBudget, list[str]]:
         announced: list[str] = []
-        budget = RetryBudget(
+        budget = SharedRetryBudget(
             ratio=0.2,
             allowance=10.0,
             window_seconds=10.0,
-            heard_share=lambda: share,
+            received_share=lambda: share,
             tell=announced.append,
         )
         return budget, announced
@@ -482,7 +492,7 @@
         budget, announced = self.make()
         n_allowed = int(USED_SHARE * 10)
         for _ in range(n_allowed - 1):
-            budget.note_other("desk", 0.0)
+            budget.record_peer_retry("desk", 0.0)
         assert budget.take("desk", 0.0)
         assert not budget.take("desk", 0.0)
         assert announced == ["desk"]
@@ -494,7 +504,7 @@
     def test_own_requests_allow_further_retries(self):
         budget, _ = self.make(share=0.0)
         for _ in range(100):
-            budget.note_request("desk", 0.0)
+            budget.record_request("desk", 0.0)
         n_taken = sum(budget.take("desk", 0.0) for _ in range(100))
         assert n_taken == int(USED_SHARE * 0.2 * 100)
 
@@ -555,7 +565,7 @@
     def test_an_endpoint_that_broke_requests_of_others_is_avoided_for_a_while(self):
         choice = self.make()
         for _ in range(3):
-            choice.hear_broken("e1", 0.0)
+            choice.record_peer_failure("e1", 0.0)
         chosen = [choice.choose(self.REGS, (), 0.0) for _ in range(50)]
         assert all(reg is not None and reg.endpoint != "e1" for reg in chosen)
         later = {choice.choose(self.REGS, (), 60.0).endpoint for _ in range(50)}  # type: ignore[union-attr]
@@ -621,20 +631,20 @@
     """
 
     def draft_in_prefill(self, name: str) -> Run:
-        return draft(name, is_reading=True)
+        return draft(name, is_prefilling=True)
 
     def test_a_queue_that_delays_the_first_token_is_not_joined(self):
-        demand = replace(DEMAND, read_seconds=1.0, read_rate=7_500.0)
+        demand = replace(DEMAND, max_prefill_seconds=1.0, prefill_rate=7_500.0)
         assert placing.fits(load("e1", self.draft_in_prefill("r1")), demand)
         queued = load("e1", self.draft_in_prefill("r1"), self.draft_in_prefill("r2"))
         assert not placing.fits(queued, demand)
 
     def test_an_engine_without_prefills_accepts_any_prompt(self):
-        demand = replace(DEMAND, n_reading_tokens=20_000, read_seconds=0.1)
+        demand = replace(DEMAND, n_prefill_tokens=20_000, max_prefill_seconds=0.1)
         assert placing.can_prefill_in_time(load("e1", draft("r1")), demand)
 
     def test_a_moved_run_needs_no_prefill_and_fits_any_queue(self):
-        moved = replace(DEMAND, n_reading_tokens=0)
+        moved = replace(DEMAND, n_prefill_tokens=0)
         queued = load("e1", *(self.draft_in_prefill(f"r{n}") for n in range(5)))
         assert placing.fits(queued, moved)
 
@@ -644,8 +654,8 @@
         """A refusal for lack of capacity reports what was lacking: memory, slots or
         prefill capacity. An operator reacts differently to each.
         """
-        demand = replace(DEMAND, read_seconds=0.5, read_rate=7_500.0)
-        queued = load("queued", draft("r1", is_reading=True))
+        demand = replace(DEMAND, max_prefill_seconds=0.5, prefill_rate=7_500.0)
+        queued = load("queued", draft("r1", is_prefilling=True))
         full = load("full", *(draft(f"r{n}") for n in range(9)))
         crowded = replace(load("crowded", draft("r1")), n_slots=1)
         free = load("free")
@@ -659,18 +669,18 @@
     """
 
     def test_the_rate_is_estimated_by_service(self):
-        rates = ReadRates()
+        rates = PrefillRates()
         for _ in range(40):
-            rates.note("slow", 3_000, 1.0)
+            rates.record_prefill("slow", 3_000, 1.0)
         assert rates.rate("slow") == pytest.approx(3_000, rel=0.05)
         assert rates.rate("other") == DEFAULT_PREFILL_RATE
 
     def test_one_stuck_engine_hardly_changes_the_rate(self):
-        rates = ReadRates()
-        rates.note("models", 3_000, 60.0)
+        rates = PrefillRates()
+        rates.record_prefill("models", 3_000, 60.0)
         assert rates.rate("models") > 0.85 * DEFAULT_PREFILL_RATE
 
     def test_short_queues_are_ignored(self):
-        rates = ReadRates()
-        rates.note("models", 10, 0.5)
+        rates = PrefillRates()
+        rates.record_prefill("models", 10, 0.5)
         assert rates.rate("models") == DEFAULT_PREFILL_RATE
--- a/tests/test_relay_freshness.py
+++ b/tests/test_relay_freshness.py
@@ -80,14 +80,14 @@
             is_strict=True,
             clock=lambda: now[0],
         )
-        assert not freshness.may_deny
+        assert not freshness.can_deny
         freshness.confirm(100.0)
         now[0] = 101.7
-        assert freshness.may_deny
+        assert freshness.can_deny
         now[0] = 101.9
-        assert not freshness.may_deny
+        assert not freshness.can_deny
         freshness.set_bounds(bound_seconds=5.0, config_seconds=4.0, is_strict=True)
-        assert freshness.may_deny
+        assert freshness.can_deny
 
 
 class TestRenewalBound:
--- a/tests/test_relay_node.py
+++ b/tests/test_relay_node.py
@@ -10,7 +10,7 @@
 from result import Err
 
 from celerytrail.http.client import HttpClient
-from celerytrail.policies.endpointchoice import TELL_SECONDS
+from celerytrail.policies.endpointchoice import ANNOUNCE_SECONDS
 from celerytrail.relay.handler import OTHER_NODE_RETRY_SECONDS, OUTAGE_RETRY_SECONDS
 from celerytrail.rowsource import RowSource, StoreUnavailable
 from standins.worker import EngineWorker, WorkerFaults
@@ -420,7 +420,7 @@
         failing.faults = WorkerFaults(resets=True)
         for _ in range(3):
             await rig.request("/file/1", node=first)
-            await asyncio.sleep(TELL_SECONDS)
+            await asyncio.sleep(ANNOUNCE_SECONDS)
         await rig.add_plain_worker("d2")
         await wait_until(lambda: len(second.registry.usable_endpoints("desk")) == 2)
         answers = [await rig.request("/file/1", node=second) for _ in range(6)]
@@ -476,11 +476,11 @@
             lambda: len(first.nodes.live()) == len(second.nodes.live()) == 2
         )
         pending = asyncio.ensure_future(rig.request("/draft/1", node=first))
-        await wait_until(lambda: len(second.loads.on_engine("e1")) == 1)
+        await wait_until(lambda: len(second.loads.runs_on_engine("e1")) == 1)
         await wait_until(lambda: engine.running)
         await engine.tick(6)
         await pending
-        await wait_until(lambda: second.loads.on_engine("e1") == [])
+        await wait_until(lambda: second.loads.runs_on_engine("e1") == [])
 
 
 class TestCrashedButRegistered:
--- a/tests/test_relay_sharing.py
+++ b/tests/test_relay_sharing.py
@@ -12,8 +12,8 @@
 from result import Err, Ok, Result
 
 from celerytrail.clock import ManualClock, SystemClock
+from celerytrail.policies.decodetimes import DecodeTimes
 from celerytrail.policies.engineloads import EngineLoads, Run
-from celerytrail.policies.paces import Paces
 from celerytrail.relay.peerupdates import (
     MAX_RUNS_PER_DATAGRAM,
     NodeUpdate,
@@ -347,7 +347,7 @@
         peer_updates = PeerUpdates(
             node=name,
             loads=loads,
-            paces=Paces(),
+            decode_times=DecodeTimes(),
             peers=lambda: [],
             on_leaving=events["leaving"].append,
             on_retried=events["retried"].append,
@@ -364,7 +364,7 @@
             n_expected_tokens=5,
             backup="e2",
             is_moving=True,
-            n_made_tokens=3,
+            n_generated_tokens=3,
         )
 
     async def test_a_sent_run_is_received_unchanged(self):
@@ -374,7 +374,7 @@
         sender._send = sent.append  # type: ignore[method-assign]
         sender.announce_run(self.run())
         receiver.datagram_received(msgspec.msgpack.encode(sent[0]), ("10.0.0.1", 1))
-        assert loads.on_engine("e1") == [self.run()]
+        assert loads.runs_on_engine("e1") == [self.run()]
 
     async def test_many_runs_are_split_across_datagrams(self):
         sender, _, _ = self.make("other")
@@ -413,7 +413,7 @@
         ] * 2
         # The first of the two updates is lost as well.
         receiver.datagram_received(msgspec.msgpack.encode(sent[1]), ("10.0.0.1", 1))
-        assert loads.on_engine("e1") == []
+        assert loads.runs_on_engine("e1") == []
 
     async def test_a_run_is_kept_for_three_periods_of_its_node(self):
         # With many nodes that have runs, each sends full updates less often. Runs
@@ -425,17 +425,17 @@
             update = NodeUpdate(node="other", runs=[entry], period_seconds=3.0)
             receiver.datagram_received(msgspec.msgpack.encode(update), ("10.0.0.1", 1))
         now = asyncio.get_running_loop().time()
-        loads.end("other", "r1", now + 5.0)
+        loads.remove_run("other", "r1", now + 5.0)
         loads.expire(now + 9.0, "me")
-        assert [run.run_id for run in loads.on_engine("e1")] == ["r2"]
+        assert [run.run_id for run in loads.runs_on_engine("e1")] == ["r2"]
         loads.expire(now + 15.0, "me")
-        assert loads.on_engine("e1") == []
+        assert loads.runs_on_engine("e1") == []
 
     async def test_unreadable_datagrams_change_nothing(self):
         receiver, loads, events = self.make()
         for data in (b"", b"\xc1", b"\x93\x01\x02\x03", b"{}"):
             receiver.datagram_received(data, ("10.0.0.1", 1))
-        assert loads.on_engine("e1") == []
+        assert loads.runs_on_engine("e1") == []
         assert events == {"leaving": [], "retried": [], "aborted": []}
 
     async def test_events_at_engines_and_services_are_passed_on(self):
--- a/tests/test_reportages.py
+++ b/tests/test_reportages.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from celerytrail.nodes.reportages import ReportAges
-from celerytrail.policies.reports import EngineReport
+from celerytrail.policies.loadreports import EngineReport
 
 
 def report(sequence, at, incarnation="i1"):
--- a/tests/test_retries.py
+++ b/tests/test_retries.py
@@ -32,7 +32,7 @@
         policy = BudgetedRetry(rng=random.Random(1))
         n_retries = 0
         for _ in range(1000):
-            policy.first_attempt("o")
+            policy.on_first_attempt("o")
             n_attempts = 1
             while isinstance(self.decide(policy, n_attempts=n_attempts), RetryAt):
                 n_retries += 1
--- a/tests/test_routing.py
+++ b/tests/test_routing.py
@@ -6,15 +6,15 @@
 
 from celerytrail.configuration.document import EngineSpec
 from celerytrail.policies.affinity import BONUS_MAX, BoundedAffinity
-from celerytrail.policies.engineview import EngineBook
+from celerytrail.policies.enginetracker import EngineTracker
 from celerytrail.policies.grants import AdmitRequest
 from celerytrail.policies.lengths import LearnedLengths
 from celerytrail.policies.routing import LeastReported, PowerOfTwo, RoundRobin
-from celerytrail.policies.shedding import N_COLD_GRANTS, ShedByWait
+from celerytrail.policies.shedding import N_WARMUP_GRANTS, ShedByWait
 
 
 def route(policy, *, n_requests: int = 60) -> dict[str, int]:
-    book = EngineBook()
+    book = EngineTracker()
     book.set_engines(
         [
             EngineSpec(name=f"e{i}", address="", failure_domain="a", model="m")
@@ -73,13 +73,13 @@
 class TestShedByWait:
     def test_refuses_only_requests_that_would_wait_far_too_long(self):
         shedding = ShedByWait(rng=random.Random(1))
-        for i in range(10 * N_COLD_GRANTS):
+        for i in range(10 * N_WARMUP_GRANTS):
             shedding.granted(100.0, 0.2 * i)
-        now = 0.2 * 10 * N_COLD_GRANTS
+        now = 0.2 * 10 * N_WARMUP_GRANTS
         rate = shedding.drain_rate(now)
         judge = {"share": 0.5, "patience": 10.0, "now": now}
-        assert shedding.judge(backlog=rate * 5, **judge) is None
-        refusal = shedding.judge(backlog=rate * 50, **judge)
+        assert shedding.refusal_on_arrival(backlog=rate * 5, **judge) is None
+        refusal = shedding.refusal_on_arrival(backlog=rate * 50, **judge)
         assert refusal.reason == "shed"
         # At half the rate the backlog takes 100 s, and 10 s of waiting are acceptable.
         assert 85 <= refusal.retry_after <= 125
--- a/tests/test_scheduler.py
+++ b/tests/test_scheduler.py
@@ -6,7 +6,7 @@
 
 from celerytrail.configuration.document import EngineSpec
 from celerytrail.policies.grants import AdmitRequest
-from celerytrail.policies.reports import EngineReport
+from celerytrail.policies.loadreports import EngineReport
 from celerytrail.policies.scheduler import Granted, PoolScheduler, Refused
 
 
@@ -95,4 +95,4 @@
         assert not new.progress(decision.grant.grant_id, 10, 1.0)
         new.adopt(decision.grant, request, 10, 1.0)
         assert new.progress(decision.grant.grant_id, 20, 2.0)
-        assert new.book.views["e0"].n_used_tokens == 120
+        assert new.tracker.views["e0"].n_used_tokens == 120
