--- a/bench/membership_loaded.py
+++ b/bench/membership_loaded.py
@@ -7,7 +7,7 @@
 import tracemalloc
 
 from celerytrail.nodes.events import Outgoing
-from celerytrail.nodes.gossip import DATAGRAM_HEAD_BYTES
+from celerytrail.nodes.gossip import DATAGRAM_HEADER_BYTES
 from celerytrail.nodes.member import Member
 from celerytrail.nodes.membership import Membership
 from celerytrail.nodes.signing import PeerKeys
@@ -15,10 +15,10 @@
 from celerytrail.nodes.wire import (
     Datagram,
     Kind,
-    VersionNews,
+    VersionUpdate,
     decode_datagram,
     encode_datagram,
-    encode_item,
+    encode_update,
     record_of,
 )
 from celerytrail.types import Address
@@ -85,7 +85,7 @@
             if n_news_per_second and self.now >= news_at:
                 news_at += 1.0 / n_news_per_second
                 version += 1
-                self._hear(Kind.NEWS, self.others[1], 0, version)
+                self._hear(Kind.UPDATE, self.others[1], 0, version)
             self._answer()
 
     def _answer(self) -> None:
@@ -95,7 +95,7 @@
             self.node.take_events()
             sealed = [KEYS.seal(encode_datagram(out.datagram)) for out in outgoing]
             self.seconds += time.perf_counter() - started
-            self.n_bytes += sum(len(data) + DATAGRAM_HEAD_BYTES for data in sealed)
+            self.n_bytes += sum(len(data) + DATAGRAM_HEADER_BYTES for data in sealed)
             for out in outgoing:
                 self._answer_one(out)
             if not outgoing:
@@ -112,8 +112,8 @@
         items = []
         newest = self.node.newest.version
         if version is not None:
-            news = VersionNews(version, "r" * 64, sender.node)
-            items.append(encode_item(news))
+            news = VersionUpdate(version, "r" * 64, sender.node)
+            items.append(encode_update(news))
         data = KEYS.seal(
             encode_datagram(
                 Datagram(
@@ -124,12 +124,12 @@
                     digest=self.node.digest,
                     newest=newest,
                     sent_at=self.wall,
-                    your_incarnation=self.node.me.incarnation,
+                    receiver_incarnation=self.node.me.incarnation,
                     items=items,
                 )
             )
         )
-        self.n_bytes += len(data) + DATAGRAM_HEAD_BYTES
+        self.n_bytes += len(data) + DATAGRAM_HEADER_BYTES
         started = time.perf_counter()
         opened = KEYS.open(data)
         assert opened is not None
--- a/celerytrail/node.py
+++ b/celerytrail/node.py
@@ -182,7 +182,7 @@
 
     async def _register(self) -> None:
         """Write this node's row to the store and read the other nodes' addresses."""
-        self.nodes.set_listed(await self._platform.node_rows.enter())
+        self.nodes.set_vm_addresses(await self._platform.node_rows.enter())
 
     def _describe_work(self) -> dict[str, object]:
         return {
@@ -222,7 +222,7 @@
 
     async def _on_metrics(self, req: Request, res: Responder, params: Params) -> None:
         self.callers.flush_metrics()
-        self.nodes.count_members()
+        self.nodes.update_member_gauge()
         self.base.metrics.set("configuration_version", float(self.sync.version))
         body, headers = self.base.metrics.render()
         await res.send(200, body, headers)
--- a/celerytrail/nodes/admitters.py
+++ b/celerytrail/nodes/admitters.py
@@ -15,8 +15,8 @@
 from ..metrics import Metrics
 from ..policies.grants import AdmitRequest, Admitter, GenerationEnd, Grant
 from ..types import NotRun
-from .alone import AloneChooser
 from .batches import AdmitOutcome, ProgressBatcher
+from .fallback import FallbackChooser
 from .homes import Homes, IsLeaving
 from .homewire import ADMIT_PATH, AdmitAnswer, AdmitBody
 from .member import Member
@@ -54,7 +54,7 @@
         Chooses among a model's pools.
     metrics : Metrics
         Observes the time to a decision.
-    alone : AloneChooser
+    fallback : FallbackChooser
         Chooses an engine where no home can be reached.
     is_leaving : callable
         Returns whether the engine of a name is known to be leaving.
@@ -70,7 +70,7 @@
         clock: Clock,
         rng: random.Random,
         metrics: Metrics,
-        alone: AloneChooser,
+        fallback: FallbackChooser,
         is_leaving: IsLeaving = lambda engine: False,
     ) -> None:
         self._nodes = nodes
@@ -80,7 +80,7 @@
         self._clock = clock
         self._rng = rng
         self._metrics = metrics
-        self._fallback = alone
+        self._fallback = fallback
         self._is_leaving = is_leaving
         self._ranking = Ranking(nodes=nodes)
         self._batches = ProgressBatcher(
@@ -90,7 +90,7 @@
             keys=keys,
             client=client,
             clock=clock,
-            on_reports=alone.on_reports,
+            on_reports=fallback.on_reports,
         )
         self._change_events: set[asyncio.Event] = set()
         nodes.on_change(self._on_nodes_change)
@@ -137,7 +137,7 @@
         pool = self._choose_pool(req)
         if pool is None:
             return Err(_refuse_no_engine(req))
-        order = self._ranking.order(pool.key, pool.region)
+        order = self._ranking.ranked_nodes(pool.key, pool.region)
         tried: set[str] = set()
         while len(tried) < MAX_HOMES_TRIED:
             home = next((m for m in order if m.node not in tried), None)
@@ -153,7 +153,7 @@
             if self._clock.monotonic() >= req.queue_deadline:
                 return Err(_refuse_late())
             # The live nodes may have changed during the wait for the answer.
-            order = self._ranking.order(pool.key, pool.region)
+            order = self._ranking.ranked_nodes(pool.key, pool.region)
         return self._choose_locally(pool, req)
 
     def _choose_locally(self, pool: Pool, req: AdmitRequest) -> Result[Grant, NotRun]:
--- a/celerytrail/nodes/batches.py
+++ b/celerytrail/nodes/batches.py
@@ -190,7 +190,9 @@
         outbox = self._outbox(pool)
         pool_spec = self._homes.pools.get(pool)
         order = (
-            self._ranking.order(pool, pool_spec.region) if pool_spec is not None else []
+            self._ranking.ranked_nodes(pool, pool_spec.region)
+            if pool_spec is not None
+            else []
         )
         runs = [run for run in self._runs.values() if run.pool == pool]
         if pool_spec is None or (not runs and not outbox.ended):
--- a/celerytrail/nodes/alone.py
+++ b/celerytrail/nodes/fallback.py
@@ -15,7 +15,7 @@
 from ..policies.routing import RoutingPolicy
 
 
-class AloneChooser:
+class FallbackChooser:
     """Chooses an engine by the last known reports and this node's own grants.
 
     Parameters
--- a/celerytrail/nodes/gossip.py
+++ b/celerytrail/nodes/gossip.py
@@ -19,7 +19,7 @@
 from .wire import MAX_DATAGRAM_BYTES, decode_datagram, encode_datagram
 
 # IP and UDP headers of a datagram; they count against the bandwidth budget.
-DATAGRAM_HEAD_BYTES = 28
+DATAGRAM_HEADER_BYTES = 28
 METRICS_PERIOD_SECONDS = 5.0
 
 
@@ -100,7 +100,7 @@
 
     def datagram_received(self, data: bytes, addr: tuple[str, int]) -> None:
         """Verify a datagram and pass it to the state machine."""
-        self.n_received_bytes += len(data) + DATAGRAM_HEAD_BYTES
+        self.n_received_bytes += len(data) + DATAGRAM_HEADER_BYTES
         if len(data) > MAX_DATAGRAM_BYTES:
             self._drop("too_large")
             return
@@ -141,7 +141,7 @@
             return
         address = outgoing.address
         self._transport.sendto(sealed, (address.host, address.port))
-        self.n_sent_bytes += len(sealed) + DATAGRAM_HEAD_BYTES
+        self.n_sent_bytes += len(sealed) + DATAGRAM_HEADER_BYTES
 
     def _drop(self, problem: str) -> None:
         self._metrics.count("bad_input", peer="node", problem=problem)
--- a/celerytrail/nodes/homes.py
+++ b/celerytrail/nodes/homes.py
@@ -67,7 +67,7 @@
         Counts bad input.
     is_leaving : callable
         Returns whether the engine of a name is known to be leaving.
-    tell_leaving : callable
+    on_leaving_change : callable
         Called with an engine's name and its time of leaving when it reports that it
         leaves, and with None instead of the time when it reports that it stays.
     """
@@ -83,7 +83,7 @@
         rng: random.Random,
         metrics: Metrics,
         is_leaving: IsLeaving = lambda engine: False,
-        tell_leaving: OnLeavingChange = lambda engine, at: None,
+        on_leaving_change: OnLeavingChange = lambda engine, at: None,
     ) -> None:
         self._nodes = nodes
         self._keys = keys
@@ -93,7 +93,7 @@
         self._rng = rng
         self._metrics = metrics
         self._is_leaving = is_leaving
-        self._on_leaving_change = tell_leaving
+        self._on_leaving_change = on_leaving_change
         self._ranking = Ranking(nodes=nodes)
         self._homes: dict[str, PoolHome] = {}
         self._led_pools: set[str] = set()
@@ -137,7 +137,7 @@
         me = self._nodes.me.node
         led_pools = set()
         for key, pool in self.pools.items():
-            order = self._ranking.order(key, pool.region)
+            order = self._ranking.ranked_nodes(key, pool.region)
             if order and order[0].node == me:
                 led_pools.add(key)
                 self._open_home(pool)
@@ -187,7 +187,7 @@
         pool = self.pools.get(pool_key)
         if pool is None or not self._is_started:
             return None
-        order = self._ranking.order(pool_key, pool.region)
+        order = self._ranking.ranked_nodes(pool_key, pool.region)
         me = self._nodes.me.node
         if me not in [member.node for member in order[:N_ELIGIBLE_HOMES]]:
             return None
@@ -220,7 +220,7 @@
                 clock=self._clock,
                 rng=self._rng,
                 metrics=self._metrics,
-                tell_leaving=self._on_leaving_change,
+                on_leaving_change=self._on_leaving_change,
             )
             self._homes[pool.key] = home
             home.set_engines(self._engine_specs(pool))
--- a/celerytrail/nodes/limit_homes.py
+++ b/celerytrail/nodes/limit_homes.py
@@ -174,7 +174,7 @@
         me = self._nodes.me.node
         for number in range(N_GROUPS):
             group = _group_name(number)
-            order = self._ranking.order(group, None)
+            order = self._ranking.ranked_nodes(group, None)
             if not order or order[0].node != me:
                 self._home_since.pop(group, None)
             else:
@@ -199,7 +199,7 @@
             self._lender.forget_idle(now)
         by_home: dict[str, tuple[Member, list[LoanRequest]]] = {}
         for req in self._borrower.requests(now):
-            order = self._ranking.order(_group_of(req.organisation), None)
+            order = self._ranking.ranked_nodes(_group_of(req.organisation), None)
             if order:
                 by_home.setdefault(order[0].node, (order[0], []))[1].append(req)
         for home, requests in by_home.values():
@@ -235,7 +235,7 @@
         return loans
 
     def _is_home(self, organisation: str) -> bool:
-        order = self._ranking.order(_group_of(organisation), None)
+        order = self._ranking.ranked_nodes(_group_of(organisation), None)
         names = [member.node for member in order[:N_ELIGIBLE_HOMES]]
         return self._nodes.me.node in names
 
--- a/celerytrail/nodes/membership.py
+++ b/celerytrail/nodes/membership.py
@@ -20,12 +20,12 @@
 
 from ..types import Address
 from .events import Event, ExchangeNeeded, Outgoing, Paused
-from .knowledge import MembershipState
 from .member import Member, State
-from .mismatches import Mismatches
+from .membershipstate import MembershipState
+from .mismatches import DigestMismatches
 from .probes import IndirectPing, Ping, ProbeFailed, Probes
-from .relays import RELAY_SECONDS, Relayed, Relays
-from .rings import Rings
+from .relays import RELAY_TIMEOUT_SECONDS, RelayedPing, RelayedPings
+from .rings import ProbeRings
 from .table import ENDPOINT_RETENTION_SECONDS
 from .timing import Timing
 from .wire import (
@@ -33,7 +33,7 @@
     EndpointUpdate,
     Kind,
     Update,
-    VersionNews,
+    VersionUpdate,
     decode_update,
     record_of,
     to_local_time,
@@ -83,12 +83,12 @@
             recent_seconds=timing.recent_seconds,
         )
         self._table = self._state.table
-        self._rings = Rings(node=me.node)
+        self._rings = ProbeRings(node=me.node)
         self._probes = Probes(timing=timing, rng=rng)
         self._outgoing: list[Outgoing] = []
         self._candidates: frozenset[Address] = frozenset()
-        self._relays = Relays()
-        self._mismatches = Mismatches()
+        self._relays = RelayedPings()
+        self._mismatches = DigestMismatches()
         self._wall = wall
         self._last_step_at = now
         self._next_contact_at = now
@@ -107,7 +107,7 @@
         return (self.me, *self._table.others.values())
 
     @property
-    def newest(self) -> VersionNews:
+    def newest(self) -> VersionUpdate:
         """Return the newest configuration version that any node announced."""
         return self._state.newest
 
@@ -184,12 +184,12 @@
         if late_seconds > self._timing.tick_seconds:
             self._compensate_pause(late_seconds)
         self._state.expire(now)
-        self._relays.forget(now)
+        self._relays.expire(now)
         if self._state.has_changed:
             self._state.has_changed = False
             self._mismatches.keep(self._table.others)
             self._probes.set_targets(
-                self._rings.watched(self._table.others.values()), now
+                self._rings.probe_targets(self._table.others.values()), now
             )
         for action in self._probes.step(now):
             match action:
@@ -244,7 +244,7 @@
             sent_at=self._wall,
             in_force=self._state.in_force.version,
             newest=self._state.newest.version,
-            your_incarnation=receiver.incarnation if receiver else 0,
+            receiver_incarnation=receiver.incarnation if receiver else 0,
             receiver_state=receiver.state if receiver else State.ALIVE,
             target=target,
             items=items,
@@ -269,7 +269,7 @@
     def _gossip(self) -> None:
         for member in self._sample(FANOUT):
             if len(self._state.queue):
-                self._send(member.peer, Kind.NEWS, member.node)
+                self._send(member.peer, Kind.UPDATE, member.node)
 
     def _contact(self) -> None:
         """Ping one node that is dead or unknown.
@@ -332,10 +332,10 @@
                 self._relay_ping(datagram, source, now)
             case Kind.ACK:
                 self._on_ack(datagram, now)
-            case Kind.NEWS:
+            case Kind.UPDATE:
                 pass
         if direct:
-            self._send(source, Kind.NEWS, sender, direct=direct)
+            self._send(source, Kind.UPDATE, sender, direct=direct)
 
     def _process_header(self, datagram: Datagram, now: float) -> list[Update]:
         known = self._table.others.get(datagram.sender)
@@ -350,11 +350,14 @@
         corrections: list[Update] = []
         if datagram.kind in (Kind.PING, Kind.ACK) and not datagram.target:
             is_suspected = datagram.receiver_state >= State.SUSPECT
-            if is_suspected and datagram.your_incarnation >= self._table.me.incarnation:
+            if (
+                is_suspected
+                and datagram.receiver_incarnation >= self._table.me.incarnation
+            ):
                 self._state.announce_self(
-                    datagram.your_incarnation + 1, self._table.me.state
+                    datagram.receiver_incarnation + 1, self._table.me.state
                 )
-            if datagram.your_incarnation < self._table.me.incarnation:
+            if datagram.receiver_incarnation < self._table.me.incarnation:
                 corrections.append(record_of(self._table.me))
         if datagram.newest < self._state.newest.version:
             corrections.append(self._state.newest)
@@ -365,11 +368,11 @@
         if target is None or self._relays.is_full:
             return
         sequence = self._probes.new_sequence()
-        relayed = Relayed(
+        relayed = RelayedPing(
             address=source,
             node=datagram.sender,
             sequence=datagram.sequence,
-            forget_at=now + RELAY_SECONDS,
+            forget_at=now + RELAY_TIMEOUT_SECONDS,
         )
         self._relays.put(sequence, relayed)
         self._send(target.peer, Kind.PING, target.node, sequence=sequence)
@@ -397,7 +400,7 @@
         Usually one of the two missed a single update, so recent updates are resent
         first. If the digests still differ, the two exchange their full states.
         """
-        mismatch_seconds = self._mismatches.lasted(
+        mismatch_seconds = self._mismatches.record(
             sender.node, self._table.digest, datagram.digest, now
         )
         if mismatch_seconds < self._timing.resend_recent_after_seconds:
--- a/celerytrail/nodes/knowledge.py
+++ b/celerytrail/nodes/membershipstate.py
@@ -6,14 +6,14 @@
 
 from .events import EndpointLeaving, Event, MemberChanged, NewerVersion, UpdateRejected
 from .member import Member, State
-from .news import UpdateQueue
 from .table import MemberTable
+from .updatequeue import UpdateQueue
 from .wire import (
     EndpointUpdate,
     MemberRecord,
     StateUpdate,
     Update,
-    VersionNews,
+    VersionUpdate,
     member_of,
     record_of,
 )
@@ -63,8 +63,8 @@
         self.table = MemberTable(me=me)
         self.queue = UpdateQueue()
         self.events: list[Event] = []
-        self.in_force = VersionNews(0, "", "")
-        self.newest = VersionNews(0, "", "")
+        self.in_force = VersionUpdate(0, "", "")
+        self.newest = VersionUpdate(0, "", "")
         self.has_changed = True
         self._recent: dict[tuple[str, str], _RecentUpdate] = {}
         self._last_expire_at = 0.0
@@ -104,7 +104,7 @@
 
     def announce_version(self, version: int, root: str) -> None:
         """Record that this node has a configuration version in force."""
-        update = VersionNews(version, root, self.me.node)
+        update = VersionUpdate(version, root, self.me.node)
         if version > self.in_force.version:
             self.in_force = update
         if version > self.newest.version:
@@ -143,7 +143,7 @@
                 self._apply_member(update, sender, now)
             case StateUpdate():
                 self._apply_state(update, now)
-            case VersionNews():
+            case VersionUpdate():
                 self._apply_version(update, sender)
             case EndpointUpdate():
                 self._apply_endpoint(update, now, wall)
@@ -192,7 +192,7 @@
             return member
         return replace(member, state=State.SUSPECT)
 
-    def _apply_version(self, update: VersionNews, sender: str) -> None:
+    def _apply_version(self, update: VersionUpdate, sender: str) -> None:
         if update.version <= self.newest.version:
             return
         self.newest = update
--- a/celerytrail/nodes/mismatches.py
+++ b/celerytrail/nodes/mismatches.py
@@ -5,7 +5,7 @@
 from collections.abc import Container
 
 
-class Mismatches:
+class DigestMismatches:
     """Holds differing digests by peer, and since when neither of the two has changed.
 
     While updates propagate, digests differ and change. Only a pair that stays the same
@@ -15,7 +15,7 @@
     def __init__(self) -> None:
         self._unchanged_since: dict[str, tuple[int, int, float]] = {}
 
-    def lasted(self, peer: str, own_digest: int, peer_digest: int, now: float) -> float:
+    def record(self, peer: str, own_digest: int, peer_digest: int, now: float) -> float:
         """Record a pair of digests and return for how many seconds it has differed."""
         if own_digest == peer_digest:
             self._unchanged_since.pop(peer, None)
--- a/celerytrail/nodes/nodes.py
+++ b/celerytrail/nodes/nodes.py
@@ -167,7 +167,7 @@
         self._seeds = tuple(seeds)
         self._set_candidates()
 
-    def set_listed(self, addresses: Sequence[Address]) -> None:
+    def set_vm_addresses(self, addresses: Sequence[Address]) -> None:
         """Set the peer addresses from the platform's VM list; may lag or be empty."""
         self._vm_addresses = tuple(addresses)
         self._set_candidates()
@@ -207,7 +207,7 @@
             self._live[region] = members
         return members
 
-    def running(self) -> tuple[Member, ...]:
+    def running_members(self) -> tuple[Member, ...]:
         """Return the running members, those out of service included, sorted by name.
 
         During a long outage of the store all nodes are out of service. They still
@@ -313,7 +313,7 @@
         for on_change in self._on_change:
             on_change()
 
-    def count_members(self) -> None:
+    def update_member_gauge(self) -> None:
         """Update the gauge of members by state."""
         states = [member.state for member in self.members()]
         for state in State:
--- a/celerytrail/nodes/poolhome.py
+++ b/celerytrail/nodes/poolhome.py
@@ -20,7 +20,7 @@
 from ..types import Address
 from .homewire import AdmitAnswer, ProgressAnswer, ProgressBody
 from .pools import Pool
-from .reportages import ReportAges
+from .report_ages import ReportAges
 
 POLL_INTERVAL_SECONDS = 0.5
 ENGINE_TIMEOUT_SECONDS = 1.0
@@ -53,7 +53,7 @@
         For the scheduler and the jitter of polls.
     metrics : Metrics
         Counts bad reports and sets gauges.
-    tell_leaving : callable
+    on_leaving_change : callable
         Called with an engine's name and its time of leaving when it reports that it
         leaves, and with None instead of the time when it reports that it stays.
     """
@@ -67,14 +67,14 @@
         clock: Clock,
         rng: random.Random,
         metrics: Metrics,
-        tell_leaving: OnLeavingChange,
+        on_leaving_change: OnLeavingChange,
     ) -> None:
         self.pool = pool
         self._client = client
         self._clock = clock
         self._rng = rng
         self._metrics = metrics
-        self._on_leaving_change = tell_leaving
+        self._on_leaving_change = on_leaving_change
         self.scheduler = PoolScheduler(model=pool.model, home=node, rng=rng)
         self._pending: dict[str, asyncio.Future[AdmitAnswer]] = {}
         self._poll_tasks: dict[str, asyncio.Task[None]] = {}
--- a/celerytrail/nodes/relays.py
+++ b/celerytrail/nodes/relays.py
@@ -7,12 +7,12 @@
 from ..types import Address
 
 # A relayed ping without an acknowledgement is dropped after this time.
-RELAY_SECONDS = 2.0
+RELAY_TIMEOUT_SECONDS = 2.0
 MAX_RELAYED = 1_000
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
-class Relayed:
+class RelayedPing:
     """A ping sent for another node.
 
     Parameters
@@ -33,26 +33,26 @@
     forget_at: float
 
 
-class Relays:
+class RelayedPings:
     """Holds the unacknowledged relayed pings by this node's own sequence numbers."""
 
     def __init__(self) -> None:
-        self._pending: dict[int, Relayed] = {}
+        self._pending: dict[int, RelayedPing] = {}
 
     @property
     def is_full(self) -> bool:
         """Return whether no further ping can be relayed."""
         return len(self._pending) >= MAX_RELAYED
 
-    def put(self, sequence: int, relayed: Relayed) -> None:
+    def put(self, sequence: int, relayed: RelayedPing) -> None:
         """Store the relayed ping of a sequence number."""
         self._pending[sequence] = relayed
 
-    def take(self, sequence: int) -> Relayed | None:
+    def take(self, sequence: int) -> RelayedPing | None:
         """Remove and return an acknowledged ping, None where there is none."""
         return self._pending.pop(sequence, None)
 
-    def forget(self, now: float) -> None:
+    def expire(self, now: float) -> None:
         """Drop the pings that were not acknowledged in time."""
         for sequence, relayed in list(self._pending.items()):
             if now >= relayed.forget_at:
--- a/celerytrail/nodes/rendezvous.py
+++ b/celerytrail/nodes/rendezvous.py
@@ -21,7 +21,7 @@
     return sorted(nodes, key=lambda node: (_weight(key, node), node), reverse=True)
 
 
-class Homes:
+class RendezvousHomes:
     """Caches the first node in the order of each key and updates it incrementally.
 
     Ranking all nodes for all keys at each change would cost the product of their
--- a/celerytrail/nodes/rings.py
+++ b/celerytrail/nodes/rings.py
@@ -13,7 +13,7 @@
 MAX_TARGETS_PER_RING = 4
 
 
-class Rings:
+class ProbeRings:
     """Orders members by hashes of their names, with one order for each ring.
 
     Every member is probed by up to `N_RINGS` fixed others, so the time until a dead
@@ -31,7 +31,7 @@
         self._keys: dict[str, tuple[int, ...]] = {}
         self._own = _ring_keys(node)
 
-    def watched(self, members: Iterable[Member]) -> list[str]:
+    def probe_targets(self, members: Iterable[Member]) -> list[str]:
         """Return the names of the members that this node has to probe."""
         others = {
             member.node: member
--- a/celerytrail/nodes/news.py
+++ b/celerytrail/nodes/updatequeue.py
@@ -8,7 +8,7 @@
 
 import msgspec
 
-from .wire import Update, encode_item
+from .wire import Update, encode_update
 
 # Each node sends an update to ln(n) + 3 others. A node then misses it with probability
 # e^-(ln(n) + 3) = 0.05 / n. The newest version in each datagram's header and the
@@ -33,7 +33,7 @@
 
     def put(self, subject: tuple[str, str], update: Update) -> None:
         """Queue an update in place of any other of its subject."""
-        self._queued[subject] = _QueuedUpdate(raw=encode_item(update))
+        self._queued[subject] = _QueuedUpdate(raw=encode_update(update))
 
     def pack(
         self, direct: Sequence[Update], max_bytes: int, n_members: int
@@ -42,7 +42,7 @@
         packed = []
         free_bytes = max_bytes
         for update in direct:
-            raw = encode_item(update)
+            raw = encode_update(update)
             if len(memoryview(raw)) <= free_bytes:
                 free_bytes -= len(memoryview(raw))
                 packed.append(raw)
--- a/celerytrail/nodes/view.py
+++ b/celerytrail/nodes/view.py
@@ -45,7 +45,7 @@
         self._rankings: dict[tuple[str, str | None], list[Member]] = {}
         nodes.on_change(self._rankings.clear)
 
-    def order(self, key: str, region: str | None) -> list[Member]:
+    def ranked_nodes(self, key: str, region: str | None) -> list[Member]:
         """Return the live nodes ranked for a key; callers must not modify the list."""
         if len(self._rankings) >= MAX_CACHED_RANKINGS:
             self._rankings.clear()
--- a/celerytrail/nodes/wire.py
+++ b/celerytrail/nodes/wire.py
@@ -27,7 +27,7 @@
     PING = 0
     ACK = 1
     PING_REQUEST = 2
-    NEWS = 3
+    UPDATE = 3
 
 
 class MemberRecord(msgspec.Struct, array_like=True, frozen=True, tag="m"):
@@ -51,7 +51,7 @@
     state: State
 
 
-class VersionNews(msgspec.Struct, array_like=True, frozen=True, tag="v"):
+class VersionUpdate(msgspec.Struct, array_like=True, frozen=True, tag="v"):
     """An accepted configuration version; ``origin`` is a node that has it."""
 
     version: Count
@@ -66,7 +66,7 @@
     at: float
 
 
-Update = MemberRecord | StateUpdate | VersionNews | EndpointUpdate
+Update = MemberRecord | StateUpdate | VersionUpdate | EndpointUpdate
 
 
 class Datagram(msgspec.Struct, array_like=True, frozen=True, kw_only=True):
@@ -89,7 +89,7 @@
         knows of.
     sent_at : float
         The sender's wall time; the receiver corrects the times in the updates by it.
-    your_incarnation : int
+    receiver_incarnation : int
         The receiver's incarnation in the sender's table; 0 if the receiver is unknown.
     receiver_state : State
         The receiver's state in the sender's table.
@@ -109,7 +109,7 @@
     in_force: Count = 0
     newest: Count = 0
     sent_at: float = 0.0
-    your_incarnation: Count = 0
+    receiver_incarnation: Count = 0
     receiver_state: State = State.ALIVE
     target: Name = ""
     items: list[msgspec.Raw] = msgspec.field(default_factory=list)
@@ -146,7 +146,7 @@
     return _datagram_decoder.decode(data)
 
 
-def encode_item(update: Update) -> msgspec.Raw:
+def encode_update(update: Update) -> msgspec.Raw:
     """Encode one update in msgpack, for use in a datagram without another encoding."""
     return msgspec.Raw(_encoder.encode(update))
 
--- a/celerytrail/relay/enginewatch.py
+++ b/celerytrail/relay/enginewatch.py
@@ -10,7 +10,7 @@
 
 from ..model import Registration
 from ..nodes.nodes import Nodes
-from ..nodes.rendezvous import Homes
+from ..nodes.rendezvous import RendezvousHomes
 from .engineapi import EngineApi
 from .peerupdates import PeerUpdates
 from .registry import Registry
@@ -71,7 +71,7 @@
         self._is_engine_service = is_engine_service
         self._on_leaving = on_leaving
         self._pending: set[str] = set()
-        self._homes = Homes()
+        self._homes = RendezvousHomes()
 
     async def run(self) -> None:
         """Poll until cancelled."""
@@ -91,7 +91,7 @@
             if self._is_engine_service(reg.service) and self._registry.is_usable(reg)
         ]
         self._homes.keep(reg.endpoint for reg in regs)
-        self._homes.set_nodes(member.node for member in self._nodes.running())
+        self._homes.set_nodes(member.node for member in self._nodes.running_members())
         return [reg for reg in regs if self._homes.home(reg.endpoint) == own_node]
 
     async def _read_report(self, reg: Registration) -> None:
--- a/celerytrail/relay/node.py
+++ b/celerytrail/relay/node.py
@@ -481,7 +481,7 @@
     async def _answer_metrics(
         self, req: Request, res: Responder, params: Params
     ) -> None:
-        self.nodes.count_members()
+        self.nodes.update_member_gauge()
         cfg = self.configs.cfg
         self._metrics.set("configuration_version", float(cfg.version if cfg else 0))
         self._metrics.set("knowledge_age_seconds", self._freshness.age_seconds or 0.0)
@@ -528,7 +528,9 @@
     def _reachable_share(self) -> float:
         """Return the share of all known VMs whose nodes run, this one included."""
         known = {member.vm for member in self.nodes.members()}
-        running = {member.vm for member in self.nodes.running()} | {self.cfg.node}
+        running = {member.vm for member in self.nodes.running_members()} | {
+            self.cfg.node
+        }
         return len(running) / max(1, len(known))
 
     def _on_retried(self, service: str) -> None:
@@ -559,7 +561,7 @@
 
     async def _enter_store(self) -> None:
         """Enter this node in the store, and read the other nodes' addresses there."""
-        self.nodes.set_listed(await self._node_rows.enter())
+        self.nodes.set_vm_addresses(await self._node_rows.enter())
 
 
 def _without_heartbeat(key: str, value: bytes) -> object:
--- a/celerytrail/relay/peerupdates.py
+++ b/celerytrail/relay/peerupdates.py
@@ -11,7 +11,7 @@
 
 from ..http.network import Network
 from ..model import EngineReport
-from ..nodes.gossip import DATAGRAM_HEAD_BYTES
+from ..nodes.gossip import DATAGRAM_HEADER_BYTES
 from ..policies.decodetimes import DecodeTimes
 from ..policies.engineloads import EngineLoads, Run
 from ..policies.runlistschedule import MIN_LIST_PERIOD_SECONDS, RunListSchedule
@@ -243,7 +243,7 @@
         for address in addresses:
             self._transport.sendto(data, (address.host, address.port))
         self.n_sent += len(addresses)
-        self.n_sent_bytes += len(addresses) * (len(data) + DATAGRAM_HEAD_BYTES)
+        self.n_sent_bytes += len(addresses) * (len(data) + DATAGRAM_HEADER_BYTES)
 
     @staticmethod
     def _now() -> float:
--- a/celerytrail/vmwatch.py
+++ b/celerytrail/vmwatch.py
@@ -80,7 +80,7 @@
 
     def on_list(self, vms: tuple[Vm, ...]) -> None:
         """Apply one reading of the list."""
-        self._nodes.set_listed(node_addresses(vms))
+        self._nodes.set_vm_addresses(node_addresses(vms))
         leaving_vms = {vm.vm for vm in vms if vm.state == "leaving"}
         now = self._clock.wall()
         listed = {name for name, vm in self._names_with_vms() if vm in leaving_vms}
--- a/celerytrail/wiring.py
+++ b/celerytrail/wiring.py
@@ -24,7 +24,7 @@
 from .leaving import LeavingBoard, LeavingFact
 from .metrics import Metrics
 from .nodes.admitters import HomeAdmitter
-from .nodes.alone import AloneChooser
+from .nodes.fallback import FallbackChooser
 from .nodes.homes import Homes
 from .nodes.limit_homes import LimitHomes
 from .nodes.member import Member
@@ -222,7 +222,7 @@
         rng=context.rng,
         metrics=context.metrics,
         is_leaving=lambda name: leaving.is_leaving(name, clock.wall()),
-        tell_leaving=on_engine_leaving,
+        on_leaving_change=on_engine_leaving,
     )
     leaving.subscribe(lambda fact: homes.refresh())
     return homes
@@ -265,7 +265,7 @@
 def make_admitter(context: NodeContext, nodes: Nodes, homes: Homes) -> HomeAdmitter:
     """Create the admitter: it asks pools' homes, and decides itself if none answers."""
     lengths = LearnedLengths()
-    alone = AloneChooser(
+    fallback = FallbackChooser(
         configuration=context.configuration,
         routing=PowerOfTwo(rng=context.rng, lengths=lengths),
         clock=context.clock,
@@ -280,7 +280,7 @@
         clock=context.clock,
         rng=context.rng,
         metrics=context.metrics,
-        alone=alone,
+        fallback=fallback,
         is_leaving=lambda name: context.leaving.is_leaving(name, context.clock.wall()),
     )
 
--- a/tests/homesrig.py
+++ b/tests/homesrig.py
@@ -16,7 +16,7 @@
 from celerytrail.http.server import HttpServer
 from celerytrail.metrics import Metrics
 from celerytrail.nodes.admitters import HomeAdmitter
-from celerytrail.nodes.alone import AloneChooser
+from celerytrail.nodes.fallback import FallbackChooser
 from celerytrail.nodes.homes import Homes
 from celerytrail.nodes.member import Member
 from celerytrail.nodes.rendezvous import rank
@@ -128,11 +128,11 @@
         self.homes = Homes(
             configuration=rig.configuration,
             client=rig.engines,
-            tell_leaving=lambda engine, at: self.reported_leaving.append(engine),
+            on_leaving_change=lambda engine, at: self.reported_leaving.append(engine),
             **shared,
         )
         self.lengths = LearnedLengths()
-        alone = AloneChooser(
+        fallback = FallbackChooser(
             configuration=rig.configuration,
             routing=PowerOfTwo(rng=rng, lengths=self.lengths),
             clock=rig.clock,
@@ -140,7 +140,7 @@
             lengths=self.lengths,
         )
         self.admitter = HomeAdmitter(
-            homes=self.homes, client=self.client, alone=alone, **shared
+            homes=self.homes, client=self.client, fallback=fallback, **shared
         )
         router = Router()
         self.homes.add_routes(router)
--- a/tests/test_homes.py
+++ b/tests/test_homes.py
@@ -19,7 +19,7 @@
 from celerytrail.configuration.document import Document
 from celerytrail.nodes.member import Member
 from celerytrail.nodes.pools import MAX_POOL_ENGINES, pools_of
-from celerytrail.nodes.rendezvous import Homes, rank
+from celerytrail.nodes.rendezvous import RendezvousHomes, rank
 from celerytrail.nodes.signing import PeerKeys
 from celerytrail.nodes.view import ranked
 from celerytrail.types import Address
@@ -31,7 +31,7 @@
         would be polled twice, and one without a home not at all.
         """
         rng = random.Random(5)
-        homes, keys = Homes(), [f"e{number}" for number in range(40)]
+        homes, keys = RendezvousHomes(), [f"e{number}" for number in range(40)]
         names: set[str] = set()
         for _ in range(60):
             names ^= set(rng.sample([f"n{number}" for number in range(30)], 3))
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -323,7 +323,7 @@
         ]
         items = [msgspec.Raw(msgspec.msgpack.encode(item)) for item in (*bad, good)]
         datagram = Datagram(
-            kind=Kind.NEWS,
+            kind=Kind.UPDATE,
             sender="node-1",
             incarnation=1_000_000,
             sent_at=wall,
--- a/tests/test_reportages.py
+++ b/tests/test_reportages.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from celerytrail.nodes.reportages import ReportAges
+from celerytrail.nodes.report_ages import ReportAges
 from celerytrail.policies.loadreports import EngineReport
 
 
