--- a/bench/configspread.py
+++ b/bench/configspread.py
@@ -196,7 +196,7 @@
         loop = asyncio.get_running_loop()
         for sync in self._rng.sample(self.syncs, N_TOLD):
             delay = self._rng.uniform(0.0, TELL_SECONDS)
-            loop.call_later(delay, sync.hear, version, root, holder)
+            loop.call_later(delay, sync.record_version, version, root, holder)
 
 
 async def measure(name: str, *, is_gossiping: bool) -> None:
@@ -209,7 +209,7 @@
     loop = asyncio.get_running_loop()
     fleet.platform.n_reads.clear()
     for fetcher in fleet.fetchers:
-        fetcher.n_bytes.update(peer=0, platform=0)
+        fetcher.n_bytes_by_source.update(peer=0, platform=0)
     times: list[float] = []
     started = loop.time()
     for version in range(2, 2 + N_VERSIONS):
@@ -226,7 +226,7 @@
     reads = fleet.platform.n_reads
     n_bytes = Counter[str]()
     for fetcher in fleet.fetchers:
-        n_bytes.update(fetcher.n_bytes)
+        n_bytes.update(fetcher.n_bytes_by_source)
     print(f"{name}: {N_VERSIONS} versions to {N_NODES} nodes")
     print(f"  in force after p50 {times[len(times) // 2]:.2f} s,", end=" ")
     print(f"p99 {times[int(len(times) * 0.99)]:.2f} s, at most {times[-1]:.2f} s")
--- a/bench/configuration.py
+++ b/bench/configuration.py
@@ -26,7 +26,6 @@
 
 from celerytrail.clock import SystemClock
 from celerytrail.configuration.checks import findings_in_steps
-from celerytrail.configuration.collector import freeze_documents
 from celerytrail.configuration.current import Configuration
 from celerytrail.configuration.document import (
     AdapterSpec,
@@ -39,6 +38,7 @@
     encode,
 )
 from celerytrail.configuration.fetch import ObjectFetcher
+from celerytrail.configuration.gcfreeze import freeze_documents
 from celerytrail.configuration.records import HEAD_KEY, OBJECT_PREFIX, Head
 from celerytrail.configuration.sections import Tree
 from celerytrail.configuration.sync import ConfigSync
@@ -239,15 +239,15 @@
     await sync.start()
     for version, root in enumerate(roots, 1):
         gaps = Gaps()
-        n_bytes, cpu = fetcher.n_bytes["platform"], time.process_time()
+        n_bytes, cpu = fetcher.n_bytes_by_source["platform"], time.process_time()
         started = time.perf_counter()
-        sync.hear(version, root, is_accepted=True)
+        sync.record_version(version, root, is_accepted=True)
         await applied.wait()
         applied.clear()
         seconds = time.perf_counter() - started
         # The watcher itself spins, so processor time is the wall time at most.
         processor = time.process_time() - cpu
-        n_bytes = fetcher.n_bytes["platform"] - n_bytes
+        n_bytes = fetcher.n_bytes_by_source["platform"] - n_bytes
         print(f"version {version}: {n_bytes} bytes fetched, {seconds * 1000:.0f} ms")
         print(f"  longest stand-still {gaps.take() * 1000:.1f} ms")
         print(f"  processor {processor * 1000:.0f} ms")
--- a/celerytrail/callers/service_api.py
+++ b/celerytrail/callers/service_api.py
@@ -282,7 +282,7 @@
                 reason=reason,
                 retry_after=retry_after,
             )
-        case Unknown(reason=reason, ask=ask):
+        case Unknown(reason=reason, status_path=ask):
             await send_error(
                 res,
                 504,
@@ -303,7 +303,7 @@
                 "this one was not run",
                 headers=headers,
             )
-        case CallInProgress(ask=ask, retry_after=retry_after):
+        case CallInProgress(status_path=ask, retry_after=retry_after):
             await send_error(
                 res,
                 409,
--- a/celerytrail/configuration/fetch.py
+++ b/celerytrail/configuration/fetch.py
@@ -76,7 +76,7 @@
         self._clock = clock
         self._rng = rng
         self._metrics = metrics
-        self.n_bytes: dict[str, int] = {"peer": 0, "platform": 0}
+        self.n_bytes_by_source: dict[str, int] = {"peer": 0, "platform": 0}
 
     async def get(
         self, digest: str, holders: Iterable[Address] = ()
@@ -127,7 +127,7 @@
         data = await self.request_peer(address, OBJECT_PATH + digest)
         if data is None or not self._is_genuine(data, digest, str(address)):
             return None
-        self.n_bytes["peer"] += len(data)
+        self.n_bytes_by_source["peer"] += len(data)
         return data
 
     async def _get_from_platform(self, digest: str) -> bytes | None:
@@ -136,7 +136,7 @@
         data = read.ok_value if isinstance(read, Ok) else None
         if data is None or not self._is_genuine(data, digest, "platform"):
             return None
-        self.n_bytes["platform"] += len(data)
+        self.n_bytes_by_source["platform"] += len(data)
         return data
 
     def _is_genuine(self, data: bytes, digest: str, source: str) -> bool:
--- a/celerytrail/configuration/sections.py
+++ b/celerytrail/configuration/sections.py
@@ -20,8 +20,8 @@
 from result import Err, Ok, Result
 
 from ..types import Finding
+from .conversion import build_list
 from .document import Document
-from .shape import build_list
 
 FORMAT = 1
 SECTIONS_PER_INDEX = 16
--- a/celerytrail/configuration/sync.py
+++ b/celerytrail/configuration/sync.py
@@ -31,7 +31,7 @@
 from .records import HEAD_KEY, read_head
 from .sections import Tree, is_digest
 from .targets import Target, Targets
-from .treeloader import Misfit, TreeLoader
+from .treeloader import InvalidObject, TreeLoader
 
 HEAD_PATH = "/peer/v1/config/head"
 HINT_PATH = "/peer/v1/config/hint"
@@ -136,7 +136,7 @@
         if self._tasks:
             await asyncio.wait(self._tasks)
 
-    def hear(
+    def record_version(
         self,
         version: int,
         root: str,
@@ -199,7 +199,7 @@
             message = "not a version and a root"
             await send_error(res, 400, "bad_hint", place="body", message=message)
             return
-        self.hear(hint.version, hint.root)
+        self.record_version(hint.version, hint.root)
         await res.send(204)
 
     async def _is_peer(self, req: Request, res: Responder) -> bool:
@@ -242,7 +242,7 @@
             return
         if head.ok_value.version < self.version:
             self._report_old_head(head.ok_value.version)
-        self.hear(head.ok_value.version, head.ok_value.root, is_accepted=True)
+        self.record_version(head.ok_value.version, head.ok_value.root, is_accepted=True)
 
     async def _poll_peers(self) -> None:
         """Request the current version of a few peers.
@@ -254,7 +254,7 @@
             data = await self._fetcher.request_peer(address, HEAD_PATH)
             hint = self._read_hint(data) if data is not None else None
             if hint is not None and hint.version > 0:
-                self.hear(hint.version, hint.root, address)
+                self.record_version(hint.version, hint.root, address)
 
     def _poll_seconds(self) -> float:
         if self.version == 0:
@@ -343,7 +343,7 @@
         loaded = await loader.load(target.root)
         if isinstance(loaded, Err):
             failure = loaded.err_value
-            if isinstance(failure, Misfit):
+            if isinstance(failure, InvalidObject):
                 return Err(_Rejected(findings=failure.findings, is_final=True))
             return Err(_Rejected(findings=(failure,)))
         tree = loaded.ok_value
--- a/celerytrail/configuration/treeloader.py
+++ b/celerytrail/configuration/treeloader.py
@@ -19,7 +19,7 @@
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
-class Misfit:
+class InvalidObject:
     """An object matches its digest but its content is invalid, so no retry helps."""
 
     findings: tuple[Finding, ...]
@@ -32,7 +32,7 @@
     ----------
     get : callable
         Returns an object's bytes by its digest.
-    held : sequence of Tree
+    cached_trees : sequence of Tree
         Trees that are already in memory.
     """
 
@@ -40,7 +40,7 @@
         self._fetch_object = get
         self._cached_trees = held
 
-    async def load(self, root: str) -> Result[Tree, E | Misfit]:
+    async def load(self, root: str) -> Result[Tree, E | InvalidObject]:
         """Load the tree with this root."""
         indexes = await self._load_index(ROOT, root)
         if isinstance(indexes, Err):
@@ -59,24 +59,26 @@
             # This node couldn't serve these objects to peers under their digests.
             problem = "its root names indexes that are not in canonical form"
             return Err(
-                Misfit(findings=(Finding(place=f"object {root}", problem=problem),))
+                InvalidObject(
+                    findings=(Finding(place=f"object {root}", problem=problem),)
+                )
             )
         return Ok(tree)
 
     async def _load_index(
         self, name: str, digest: str
-    ) -> Result[dict[str, str], E | Misfit]:
+    ) -> Result[dict[str, str], E | InvalidObject]:
         data = await self._get_object(digest)
         if isinstance(data, Err):
             return Err(data.err_value)
         index = read_index(data.ok_value, name, digest)
         if isinstance(index, Err):
-            return Err(Misfit(findings=index.err_value))
+            return Err(InvalidObject(findings=index.err_value))
         return Ok(dict(index.ok_value.digests))
 
     async def _load_sections(
         self, digests: dict[str, str]
-    ) -> Result[dict[str, Section], E | Misfit]:
+    ) -> Result[dict[str, Section], E | InvalidObject]:
         sections: dict[str, Section] = {}
         missing: list[tuple[str, str]] = []
         for name, digest in digests.items():
@@ -96,13 +98,13 @@
 
     async def _load_section(
         self, name: str, digest: str
-    ) -> Result[Section, E | Misfit]:
+    ) -> Result[Section, E | InvalidObject]:
         data = await self._get_object(digest)
         if isinstance(data, Err):
             return Err(data.err_value)
         section = read_section(data.ok_value, name, digest)
         if isinstance(section, Err):
-            return Err(Misfit(findings=section.err_value))
+            return Err(InvalidObject(findings=section.err_value))
         return Ok(section.ok_value)
 
     def _cached_section(self, digest: str) -> Section | None:
--- a/celerytrail/configuration/validation.py
+++ b/celerytrail/configuration/validation.py
@@ -9,8 +9,8 @@
 
 from ..types import Finding
 from .checks import findings_of
+from .conversion import build
 from .document import Document
-from .shape import build
 
 MAX_DOCUMENT_BYTES = 32 * 1024 * 1024
 MAX_FINDINGS = 1_000
--- a/celerytrail/engines/counters.py
+++ b/celerytrail/engines/counters.py
@@ -8,7 +8,7 @@
 
 from collections import Counter
 
-from ..metrics import Metrics, TimeCounts
+from ..metrics import DurationCounts, Metrics
 
 
 class StreamCounters:
@@ -21,7 +21,7 @@
         self.stall_seconds = 0.0
         self.resumes: Counter[str] = Counter()
         self.bad_replies: Counter[str] = Counter()
-        self.token_intervals = TimeCounts()
+        self.token_intervals = DurationCounts()
 
     def record_tokens(self, n_tokens: int, interval_seconds: float) -> None:
         """Count tokens that arrived together and the interval before them."""
--- a/celerytrail/leaving.py
+++ b/celerytrail/leaving.py
@@ -10,13 +10,13 @@
 
 LeavingSource = Literal["vm_list", "report", "document", "gossip"]
 # How often a repeated notice is announced again, as other nodes' copies expire.
-RETELL_SECONDS = 30.0
+REANNOUNCE_SECONDS = 30.0
 
-LeavingSubscriber = Callable[["LeavingFact"], None]
+LeavingSubscriber = Callable[["LeavingNotice"], None]
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
-class LeavingFact:
+class LeavingNotice:
     """One source's notice that an endpoint or engine is leaving.
 
     Parameters
@@ -25,7 +25,7 @@
         Its name in the document.
     source : str
         The source of the notice.
-    at : float
+    known_at : float
         Wall time of the first evidence, in seconds since the epoch.
     expires_at : float or None
         Wall time at which the notice expires unless it is repeated; None for never.
@@ -33,11 +33,11 @@
 
     endpoint: str
     source: LeavingSource
-    at: float
+    known_at: float
     expires_at: float | None = None
 
 
-class LeavingBoard:
+class LeavingTracker:
     """Holds the notices of all sources; any one of them marks an endpoint as leaving.
 
     Each source may lag or fall silent, so one notice is enough: if two were needed, an
@@ -47,11 +47,11 @@
     """
 
     def __init__(self) -> None:
-        self._notices: dict[str, dict[LeavingSource, LeavingFact]] = {}
+        self._notices: dict[str, dict[LeavingSource, LeavingNotice]] = {}
         self._announced_at: dict[str, float] = {}
         self._subscribers: list[LeavingSubscriber] = []
 
-    def note(
+    def record(
         self,
         endpoint: str,
         source: LeavingSource,
@@ -74,9 +74,11 @@
         notices = self._notices.setdefault(endpoint, {})
         is_new = not any(_is_valid(n, at) for n in notices.values())
         known = notices.get(source)
-        since = at if known is None or not _is_valid(known, at) else min(known.at, at)
-        notice = LeavingFact(
-            endpoint=endpoint, source=source, at=since, expires_at=expires_at
+        since = (
+            at if known is None or not _is_valid(known, at) else min(known.known_at, at)
+        )
+        notice = LeavingNotice(
+            endpoint=endpoint, source=source, known_at=since, expires_at=expires_at
         )
         notices[source] = notice
         if is_new:
@@ -94,7 +96,7 @@
         # then send work to an endpoint that is still leaving.
         if source == "gossip":
             return False
-        return abs(at - self._announced_at.get(endpoint, 0.0)) >= RETELL_SECONDS
+        return abs(at - self._announced_at.get(endpoint, 0.0)) >= REANNOUNCE_SECONDS
 
     def withdraw(self, endpoint: str, source: LeavingSource) -> None:
         """Remove a source's own notice."""
@@ -112,13 +114,13 @@
             return False
         return any(_is_valid(notice, now) for notice in notices.values())
 
-    def earliest_notice(self, endpoint: str, now: float) -> LeavingFact | None:
+    def earliest_notice(self, endpoint: str, now: float) -> LeavingNotice | None:
         """Return an endpoint's earliest valid notice, for operators."""
         notices = self._notices.get(endpoint, {}).values()
         valid = [notice for notice in notices if _is_valid(notice, now)]
-        return min(valid, key=lambda notice: notice.at, default=None)
+        return min(valid, key=lambda notice: notice.known_at, default=None)
 
-    def facts(self, now: float) -> list[LeavingFact]:
+    def valid_notices(self, now: float) -> list[LeavingNotice]:
         """Return all valid notices."""
         notices = [
             notice
@@ -127,7 +129,7 @@
         ]
         return [notice for notice in notices if _is_valid(notice, now)]
 
-    def forget_stale(self, names: set[str], now: float) -> None:
+    def remove_stale(self, names: set[str], now: float) -> None:
         """Remove expired notices and those for names no longer in the document."""
         for endpoint in list(self._notices):
             notices = self._notices[endpoint]
@@ -141,13 +143,13 @@
     def subscribe(self, subscriber: LeavingSubscriber) -> None:
         """Call ``subscriber`` when an endpoint becomes known to leave.
 
-        It is called again, at most every `RETELL_SECONDS`, while a source other than
-        gossip repeats its notice.
+        It is called again, at most every `REANNOUNCE_SECONDS`, while a source other
+        than gossip repeats its notice.
         """
         self._subscribers.append(subscriber)
 
 
-def _is_valid(notice: LeavingFact, now: float) -> bool:
+def _is_valid(notice: LeavingNotice, now: float) -> bool:
     # The time of the evidence is not compared with the time now: after a wall clock
     # jumped back, an endpoint known to be leaving would get work again.
     return notice.expires_at is None or now < notice.expires_at
--- a/celerytrail/metrics.py
+++ b/celerytrail/metrics.py
@@ -16,7 +16,7 @@
 Labels = dict[str, str]
 
 
-class TimeCounts:
+class DurationCounts:
     """Counts durations by bucket, to be added to a histogram in one step."""
 
     def __init__(self) -> None:
@@ -81,7 +81,7 @@
         """Add a duration to the histogram ``celerytrail_NAME_seconds``."""
         self._histogram(name).observe(labels, seconds)
 
-    def observe_many(self, name: str, counts: TimeCounts, **labels: str) -> None:
+    def observe_many(self, name: str, counts: DurationCounts, **labels: str) -> None:
         """Add a batch of counted durations to the histogram."""
         histogram = self._histogram(name)
         try:
--- a/celerytrail/model.py
+++ b/celerytrail/model.py
@@ -43,9 +43,9 @@
         The services and their weights, at least one.
     timeout_seconds : float
         The longest time that a request may wait.
-    target_seconds : float
+    target_latency_seconds : float
         The target time to an answer or its first event; later ones are worth less.
-    pause_seconds : float
+    target_gap_seconds : float
         The longest pause between two events that is still on time; 0 if not set.
     max_attempts : int
         The most endpoints to which one request may be sent.
@@ -63,8 +63,8 @@
     kind: RouteKind
     shares: tuple[ServiceShare, ...]
     timeout_seconds: float
-    target_seconds: float
-    pause_seconds: float = 0.0
+    target_latency_seconds: float
+    target_gap_seconds: float = 0.0
     max_attempts: int = 1
     priority: int = 5
     is_public: bool = False
@@ -72,7 +72,7 @@
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
-class EngineFacts:
+class EngineProfile:
     """The properties that all engines of a service share.
 
     Parameters
@@ -87,7 +87,7 @@
         The bandwidth of an engine's link.
     can_move, can_back_up : bool
         Whether a running generation can be migrated, and replicated as it grows.
-    handle_seconds : float
+    copy_lifetime_seconds : float
         How long an engine keeps a copy that is not used.
     n_event_tokens : int
         Tokens in one event of a stream.
@@ -99,7 +99,7 @@
     link_bytes_per_second: float = 0.0
     can_move: bool = False
     can_back_up: bool = False
-    handle_seconds: float = 0.0
+    copy_lifetime_seconds: float = 0.0
     n_event_tokens: int = 1
 
 
@@ -109,7 +109,7 @@
 
     name: str
     health_path: str = "/health"
-    engine: EngineFacts | None = None
+    engine: EngineProfile | None = None
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
@@ -237,7 +237,7 @@
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
-class CallerFacts:
+class RequestMetadata:
     """What a caller states in a request's head besides its method and path.
 
     Parameters
--- a/celerytrail/node.py
+++ b/celerytrail/node.py
@@ -20,7 +20,7 @@
 from .http.network import Network, SystemNetwork
 from .http.routes import Params, Router
 from .http.server import HttpServer, Responder, ServerLimits
-from .leaving import LeavingBoard
+from .leaving import LeavingTracker
 from .log import start_logging
 from .metrics import Metrics
 from .nodes.limited import LimitedAdmitter
@@ -63,7 +63,7 @@
         configuration = Configuration()
         node_id = f"{cfg.vm}-{rng.getrandbits(32):08x}"
         self.cfg = cfg
-        self.base = wiring.NodeContext(
+        self.context = wiring.NodeContext(
             cfg=cfg,
             node_id=node_id,
             clock=clock or SystemClock(),
@@ -73,7 +73,7 @@
             metrics=Metrics(process=cfg.vm),
             configuration=configuration,
             authenticator=Authenticator(configuration=configuration),
-            leaving=LeavingBoard(),
+            leaving=LeavingTracker(),
             keys=PeerKeys(keys=[key.secret for key in cfg.peer_keys]),
         )
         self.is_leaving = False
@@ -86,27 +86,29 @@
             network=network,
         )
         self._peer_server = HttpServer(handler=self._peer_router, network=network)
-        self._platform = wiring.connect_platform(self.base)
-        self.nodes = wiring.make_nodes(self.base)
-        self.sync = wiring.make_sync(self.base, self._platform, self.nodes)
+        self._platform = wiring.connect_platform(self.context)
+        self.nodes = wiring.make_nodes(self.context)
+        self.sync = wiring.make_sync(self.context, self._platform, self.nodes)
         self._vm_watch = VmWatch(
             vms=self._platform.vms,
             nodes=self.nodes,
-            leaving=self.base.leaving,
-            configuration=self.base.configuration,
-            clock=self.base.clock,
+            leaving=self.context.leaving,
+            configuration=self.context.configuration,
+            clock=self.context.clock,
             rng=rng,
         )
-        wiring.share_leaving(self.base, self.nodes)
-        engines = EngineClient(http=self.base.client, clock=self.base.clock)
-        self.homes = wiring.make_homes(self.base, self.nodes, engines)
-        self.admitter = wiring.make_admitter(self.base, self.nodes, self.homes)
-        self.limits = wiring.make_limits(self.base, self.nodes)
-        self._reconciler = wiring.make_reconciler(self.base, self._platform, self.homes)
+        wiring.share_leaving(self.context, self.nodes)
+        engines = EngineClient(http=self.context.client, clock=self.context.clock)
+        self.homes = wiring.make_homes(self.context, self.nodes, engines)
+        self.admitter = wiring.make_admitter(self.context, self.nodes, self.homes)
+        self.limits = wiring.make_limits(self.context, self.nodes)
+        self._reconciler = wiring.make_reconciler(
+            self.context, self._platform, self.homes
+        )
         limited_admitter = LimitedAdmitter(inner=self.admitter, limits=self.limits)
-        self.callers = wiring.make_callers(self.base, engines, limited_admitter)
-        self.services = wiring.make_services(self.base, self._platform)
-        self.status = wiring.make_status(self.base, self.nodes, self.sync)
+        self.callers = wiring.make_callers(self.context, engines, limited_admitter)
+        self.services = wiring.make_services(self.context, self._platform)
+        self.status = wiring.make_status(self.context, self.nodes, self.sync)
         self.status.add_part("homes", self.homes.describe)
         self.status.add_part("work", self._describe_work)
         self._add_routes()
@@ -122,12 +124,12 @@
         self.services.directory.start()
         self._start_task(self._register())
         self._start_task(self._vm_watch.run())
-        self._start_task(wiring.keep_telling(self.base, self.nodes))
+        self._start_task(wiring.reannounce_leaving(self.context, self.nodes))
         self._start_task(self._reconciler.run())
         self._start_task(self.services.sweeper.run())
         await self._caller_server.start(self.cfg.caller_listen)
         log_message(
-            "node:started", node=self.base.node_id, callers=str(self.caller_address)
+            "node:started", node=self.context.node_id, callers=str(self.caller_address)
         )
 
     @property
@@ -144,27 +146,27 @@
         address that is still valid to them. Then requests in progress finish.
         """
         self.is_leaving = True
-        log_message("node:leaving", node=self.base.node_id)
+        log_message("node:leaving", node=self.context.node_id)
         close_at = await self.nodes.leave()
-        await asyncio.sleep(max(0.0, close_at - self.base.clock.monotonic()))
+        await asyncio.sleep(max(0.0, close_at - self.context.clock.monotonic()))
         log_message("node:draining", n_in_progress=self._caller_server.n_busy)
         await self._caller_server.drain()
         # A call can continue after its caller has disconnected, and its outcome may
         # not be written yet; the process waits for both.
-        drain_deadline = self.base.clock.monotonic() + OUTCOME_DRAIN_SECONDS
+        drain_deadline = self.context.clock.monotonic() + OUTCOME_DRAIN_SECONDS
         await self.services.calls.drain(drain_deadline)
         await self._platform.node_rows.leave()
         await self._stop_parts()
         await self._peer_server.drain()
-        self.base.client.close()
-        log_message("node:left", node=self.base.node_id)
+        self.context.client.close()
+        log_message("node:left", node=self.context.node_id)
 
     async def close(self) -> None:
         """Stop at once and abort requests in progress; for tests."""
         await self._caller_server.close()
         await self._stop_parts()
         await self._peer_server.close()
-        self.base.client.close()
+        self.context.client.close()
 
     async def _stop_parts(self) -> None:
         self.callers.close()
@@ -202,7 +204,7 @@
         self.services.api.add_routes(self._caller_router)
         self.homes.add_routes(self._peer_router)
         self.limits.add_routes(self._peer_router)
-        wiring.make_addresses(self.base, self.nodes).add_routes(self._caller_router)
+        wiring.make_addresses(self.context, self.nodes).add_routes(self._caller_router)
         self._peer_router.add("GET", "/metrics", self._on_metrics)
         self.nodes.add_routes(self._peer_router)
         self.sync.add_routes(self._peer_router)
@@ -223,8 +225,8 @@
     async def _on_metrics(self, req: Request, res: Responder, params: Params) -> None:
         self.callers.flush_metrics()
         self.nodes.update_member_gauge()
-        self.base.metrics.set("configuration_version", float(self.sync.version))
-        body, headers = self.base.metrics.render()
+        self.context.metrics.set("configuration_version", float(self.sync.version))
+        body, headers = self.context.metrics.render()
         await res.send(200, body, headers)
 
 
--- a/celerytrail/operators/drafts.py
+++ b/celerytrail/operators/drafts.py
@@ -16,9 +16,9 @@
 import msgspec
 from result import Err, Ok, Result
 
+from ..configuration.conversion import build
 from ..configuration.document import Document
 from ..configuration.sections import item_key
-from ..configuration.shape import build
 from ..configuration.validation import Validated, finish
 from ..types import Finding
 
--- a/celerytrail/operators/store.py
+++ b/celerytrail/operators/store.py
@@ -25,7 +25,7 @@
     read_head,
 )
 from ..configuration.sections import Tree, digest_of
-from ..configuration.treeloader import N_PARALLEL, Misfit, TreeLoader
+from ..configuration.treeloader import N_PARALLEL, InvalidObject, TreeLoader
 from ..configuration.validation import validate
 from ..platform import table as tables
 from ..platform.client import InDoubt, Unavailable
@@ -332,7 +332,7 @@
         loaded = await loader.load(root_digest)
         if isinstance(loaded, Err):
             failure = loaded.err_value
-            if isinstance(failure, Misfit):
+            if isinstance(failure, InvalidObject):
                 return Err(Damaged(findings=failure.findings))
             return Err(failure)
         tree = loaded.ok_value
--- a/celerytrail/platform/operatorconfig.py
+++ b/celerytrail/platform/operatorconfig.py
@@ -9,7 +9,7 @@
 
 from ..model import (
     CallerBounds,
-    EngineFacts,
+    EngineProfile,
     OrganisationKey,
     RelayConfig,
     Route,
@@ -145,8 +145,8 @@
         kind=_ROUTE_KINDS[raw.route_type],
         shares=tuple(shares),
         timeout_seconds=raw.timeout_ms * MS,
-        target_seconds=raw.target_latency_ms * MS,
-        pause_seconds=raw.gap_target_ms * MS,
+        target_latency_seconds=raw.target_latency_ms * MS,
+        target_gap_seconds=raw.gap_target_ms * MS,
         max_attempts=max(1, raw.max_attempts),
         priority=raw.priority,
         is_public=raw.public,
@@ -158,14 +158,14 @@
     engine = raw.engine
     facts = None
     if engine is not None:
-        facts = EngineFacts(
+        facts = EngineProfile(
             n_slots=engine.slots,
             n_memory_tokens=engine.kv_capacity_tokens,
             token_bytes=engine.kv_token_bytes,
             link_bytes_per_second=engine.link_mbps * BYTES_PER_MEGABIT,
             can_move=engine.moves,
             can_back_up=engine.backups,
-            handle_seconds=engine.handle_s,
+            copy_lifetime_seconds=engine.handle_s,
             n_event_tokens=max(1, engine.stride),
         )
     return Service(name=raw.name, health_path=raw.health_path, engine=facts)
--- a/celerytrail/platform/rows.py
+++ b/celerytrail/platform/rows.py
@@ -7,7 +7,7 @@
 from ..http.messages import Response
 from ..rowsource import (
     Changes,
-    HistoryGone,
+    HistoryTruncated,
     Row,
     RowSource,
     StoreInDoubt,
@@ -57,13 +57,13 @@
 
     async def follow(
         self, table: str, after: int, wait_seconds: float, deadline: float
-    ) -> Result[Changes, StoreUnavailable | HistoryGone]:
+    ) -> Result[Changes, StoreUnavailable | HistoryTruncated]:
         """Return the changes after a version; wait up to ``wait_seconds`` for one."""
         path = storewire.changes_path(table, after, wait_seconds)
         response = await self._get("follow", path, deadline)
         if isinstance(response, Err):
             if response.err_value.status == storewire.GONE:
-                return Err(HistoryGone())
+                return Err(HistoryTruncated())
             return Err(response.err_value)
         page = self._page("follow", response.ok_value)
         if isinstance(page, Err):
--- a/celerytrail/platform/wire.py
+++ b/celerytrail/platform/wire.py
@@ -11,7 +11,7 @@
 from result import Err, Ok, Result
 
 from ..http.messages import Request
-from ..model import CallerFacts, EngineReport
+from ..model import EngineReport, RequestMetadata
 from ..types import Address
 
 MS = 0.001
@@ -108,13 +108,13 @@
     n_events: int
 
 
-def caller_facts(req: Request) -> CallerFacts:
+def caller_facts(req: Request) -> RequestMetadata:
     """Decode the caller's headers; values that can't be decoded count as missing."""
     headers = req.headers
     scheme, _, key = headers.get("authorization", "").partition(" ")
     prompt, _, output = headers.get("x-token-count", "").partition(",")
     hint = headers.get("x-length-hint", "")
-    return CallerFacts(
+    return RequestMetadata(
         attempt_id=headers.get(ATTEMPT_HEADER, ""),
         budget_seconds=_milliseconds(headers.get(_BUDGET)),
         key=key.strip() if scheme.lower() == "bearer" and key.strip() else None,
--- a/celerytrail/policies/moving.py
+++ b/celerytrail/policies/moving.py
@@ -10,7 +10,7 @@
 
 from collections.abc import Iterable
 
-from ..model import EngineFacts
+from ..model import EngineProfile
 from .engineloads import Run
 
 # Duration of a copy to another failure domain, relative to one within a domain, and the
@@ -36,7 +36,7 @@
 
 
 def copy_seconds(
-    run: Run, engine: EngineFacts, *, is_cross_domain: bool | None = None
+    run: Run, engine: EngineProfile, *, is_cross_domain: bool | None = None
 ) -> float:
     """Return the seconds for which the copy of a run occupies its engine's link.
 
@@ -69,11 +69,11 @@
     ----------
     run_id : str
         The run that waits.
-    engine : EngineFacts
+    engine : EngineProfile
         Properties that the engines of its service share.
     """
 
-    def __init__(self, *, run_id: str, engine: EngineFacts) -> None:
+    def __init__(self, *, run_id: str, engine: EngineProfile) -> None:
         self._run_id = run_id
         self._engine = engine
         self._skipped: set[str] = set()
@@ -115,7 +115,7 @@
         return START_TIMEOUT_SECONDS + LATE_FACTOR * copy_seconds(head, self._engine)
 
 
-def needs_backup(run: Run, runs: Iterable[Run], engine: EngineFacts) -> bool:
+def needs_backup(run: Run, runs: Iterable[Run], engine: EngineProfile) -> bool:
     """Return whether an engine's runs without copies exceed what its link can move."""
     seconds = sum(copy_seconds(other, engine) for other in runs if not other.has_copy)
     return seconds + copy_seconds(run, engine) > MAX_MOVE_SECONDS
--- a/celerytrail/policies/stopping.py
+++ b/celerytrail/policies/stopping.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from ..model import CallerFacts
+from ..model import RequestMetadata
 
 # Time to the first token, in seconds: the usual target.
 FIRST_TOKEN_SECONDS = 1.8
@@ -12,7 +12,7 @@
 MARGIN_SECONDS = 0.5
 
 
-def can_finish(facts: CallerFacts, now: float, killed_at: float) -> bool:
+def can_finish(facts: RequestMetadata, now: float, killed_at: float) -> bool:
     """Return whether a generation certainly ends before its node is killed.
 
     Callers continue to use open connections to a node that stops. A draft accepted in
--- a/celerytrail/relay/calls.py
+++ b/celerytrail/relay/calls.py
@@ -206,7 +206,7 @@
         """
         timeout = None
         if attempts.n_maybe_executed + len(attempts.pending) < ex.route.max_attempts:
-            timeout = HEDGE_SHARE * ex.route.target_seconds
+            timeout = HEDGE_SHARE * ex.route.target_latency_seconds
         done, _ = await asyncio.wait(
             attempts.pending, timeout=timeout, return_when=asyncio.FIRST_COMPLETED
         )
--- a/celerytrail/relay/engineplacer.py
+++ b/celerytrail/relay/engineplacer.py
@@ -130,7 +130,7 @@
         """Wait for an engine with capacity; return None if none has any in time."""
         ex = live.ex
         loop = asyncio.get_running_loop()
-        target = ex.route.target_seconds
+        target = ex.route.target_latency_seconds
         prefill_deadline = loop.time() + placing.PREFILL_SHARE * target
         wait_deadline = min(loop.time() + WAIT_SHARE * target, ex.loop_deadline)
         while True:
--- a/celerytrail/relay/exchange.py
+++ b/celerytrail/relay/exchange.py
@@ -13,7 +13,7 @@
 from ..http.messages import Request
 from ..http.server import Responder
 from ..metrics import Metrics
-from ..model import CallerFacts, Route
+from ..model import RequestMetadata, Route
 from ..platform import wire
 
 T = TypeVar("T")
@@ -31,7 +31,7 @@
     ----------
     req, res : Request, Responder
         The request and where its answer is written.
-    facts : CallerFacts
+    facts : RequestMetadata
         What its headers state.
     route : Route
         The route that it matches.
@@ -53,7 +53,7 @@
 
     req: Request
     res: Responder
-    facts: CallerFacts
+    facts: RequestMetadata
     route: Route
     service: str
     organisation: str | None
--- a/celerytrail/relay/generations.py
+++ b/celerytrail/relay/generations.py
@@ -10,7 +10,7 @@
 
 from ..exceptions import PeerError
 from ..http.client import Stream
-from ..model import EngineFacts, Registration
+from ..model import EngineProfile, Registration
 from ..platform import wire
 from ..policies.engineloads import Run
 from ..policies.retrybudget import SharedRetryBudget
@@ -73,7 +73,7 @@
         """Return the number of generations in progress."""
         return len(self._live)
 
-    async def relay(self, ex: Exchange, engine: EngineFacts) -> None:
+    async def relay(self, ex: Exchange, engine: EngineProfile) -> None:
         """Answer a request with a generation."""
         now = asyncio.get_running_loop().time()
         self._budget.record_request(ex.service, now)
--- a/celerytrail/relay/handler.py
+++ b/celerytrail/relay/handler.py
@@ -12,7 +12,7 @@
 from ..http.messages import Request
 from ..http.server import Handler, Responder
 from ..metrics import Metrics
-from ..model import CallerFacts, OrganisationKey, RelayConfig, Route
+from ..model import OrganisationKey, RelayConfig, RequestMetadata, Route
 from ..platform import wire
 from ..policies.freshness import Freshness
 from ..policies.stopping import can_finish
@@ -136,14 +136,14 @@
         else:
             await self._calls.relay(ex)
 
-    def _is_killed_before_end(self, facts: CallerFacts) -> bool:
+    def _is_killed_before_end(self, facts: RequestMetadata) -> bool:
         killed_at = self._killed_at()
         if killed_at is None:
             return False
         return not can_finish(facts, asyncio.get_running_loop().time(), killed_at)
 
     def _make_allowed_check(
-        self, route: Route, facts: CallerFacts
+        self, route: Route, facts: RequestMetadata
     ) -> Callable[[], bool]:
         """Return a function that checks whether a request may still be sent on."""
 
@@ -167,7 +167,7 @@
         return self._rng.choices(names, weights)[0]
 
     async def _deny(
-        self, res: Responder, facts: CallerFacts, status: int, reason: str
+        self, res: Responder, facts: RequestMetadata, status: int, reason: str
     ) -> None:
         """Refuse with ``status``, or as retryable if the configuration may be stale."""
         if self._freshness.can_deny:
@@ -180,7 +180,7 @@
     async def _refuse(
         self,
         res: Responder,
-        facts: CallerFacts,
+        facts: RequestMetadata,
         status: int,
         reason: str,
         *,
--- a/celerytrail/relay/liverun.py
+++ b/celerytrail/relay/liverun.py
@@ -6,8 +6,8 @@
 from dataclasses import dataclass
 
 from ..http.client import Stream
-from ..metrics import TimeCounts
-from ..model import EngineFacts, Registration
+from ..metrics import DurationCounts
+from ..model import EngineProfile, Registration
 from ..policies.engineloads import Run
 from .exchange import Exchange
 
@@ -61,13 +61,13 @@
     ----------
     ex : Exchange
         The caller's request.
-    engine : EngineFacts
+    engine : EngineProfile
         What the engines of its service have in common.
     run : Run
         The description announced to the other nodes.
     """
 
-    def __init__(self, *, ex: Exchange, engine: EngineFacts, run: Run) -> None:
+    def __init__(self, *, ex: Exchange, engine: EngineProfile, run: Run) -> None:
         self.ex = ex
         self.engine = engine
         self.run = run
@@ -89,7 +89,7 @@
         self._first_event_at = 0.0
         self._last_event_at = 0.0
         self.longest_pause = 0.0
-        self.pauses = TimeCounts()
+        self.pauses = DurationCounts()
 
     def record_event(self) -> None:
         """Record the arrival of an event."""
--- a/celerytrail/relay/node.py
+++ b/celerytrail/relay/node.py
@@ -17,7 +17,7 @@
 from ..http.routes import Params, Router
 from ..http.server import HttpServer, Responder, ServerLimits
 from ..metrics import Metrics
-from ..model import EngineFacts, Registration, RelayConfig
+from ..model import EngineProfile, Registration, RelayConfig
 from ..nodes.member import Member, State
 from ..nodes.nodes import Nodes
 from ..nodes.signing import PeerKeys
@@ -492,7 +492,7 @@
         body, headers = self._metrics.render()
         await res.send(200, body, headers)
 
-    def _engine_of(self, service: str) -> EngineFacts | None:
+    def _engine_of(self, service: str) -> EngineProfile | None:
         cfg = self.configs.cfg
         found = cfg.services.get(service) if cfg else None
         return found.engine if found else None
--- a/celerytrail/relay/sharedrows.py
+++ b/celerytrail/relay/sharedrows.py
@@ -31,7 +31,7 @@
 from ..policies.renewal import RenewalBound
 from ..rowsource import (
     Changes,
-    HistoryGone,
+    HistoryTruncated,
     Row,
     RowSource,
     StoreInDoubt,
@@ -77,7 +77,7 @@
 STORE = ""
 
 
-Answer = Result[Changes, StoreUnavailable | HistoryGone]
+Answer = Result[Changes, StoreUnavailable | HistoryTruncated]
 
 
 class ReaderBehind(StoreUnavailable):
@@ -206,14 +206,14 @@
         )
         if isinstance(found, Err):
             exc = found.err_value
-            if isinstance(exc, HistoryGone):
+            if isinstance(exc, HistoryTruncated):
                 return Err(StoreUnavailable(reason="a reader has no rows yet"))
             return Err(exc)
         return found
 
     async def follow(
         self, table: str, after: int, wait_seconds: float, deadline: float
-    ) -> Result[Changes, StoreUnavailable | HistoryGone]:
+    ) -> Result[Changes, StoreUnavailable | HistoryTruncated]:
         """Return the changes after a version, waiting for one if there is none."""
         return await self._try_sources(
             table,
@@ -356,7 +356,9 @@
                 )
                 until = min(deadline, loop.time() + wait_seconds + answer_seconds)
                 answered = await call_node(name, address, wait_seconds, until)
-            if isinstance(answered, Ok) or isinstance(answered.err_value, HistoryGone):
+            if isinstance(answered, Ok) or isinstance(
+                answered.err_value, HistoryTruncated
+            ):
                 if address is None:
                     self._n_hops[table] = 0
                     self._avoid_until.pop(STORE, None)
@@ -414,7 +416,7 @@
         after: int | None,
         wait_seconds: float,
         deadline: float,
-    ) -> Result[Changes, StoreUnavailable | HistoryGone]:
+    ) -> Result[Changes, StoreUnavailable | HistoryTruncated]:
         request = _RowsRequest(table=table, after=after, wait_seconds=wait_seconds)
         body = msgspec.json.encode(request)
         answered = await self._client.request(
@@ -435,7 +437,7 @@
         except (msgspec.DecodeError, UnicodeDecodeError) as exc:
             return Err(StoreUnavailable(reason=f"can't be read: {exc}"))
         if answer.is_history_gone:
-            return Err(HistoryGone())
+            return Err(HistoryTruncated())
         if answer.age_seconds > self._tables[table].bound().useful_seconds:
             return Err(ReaderBehind(reason="the reader is behind"))
         if answer.n_hops > self._max_hops:
@@ -483,7 +485,7 @@
             await send_error(res, 400, "bad_question", place="body", message=str(exc))
             return
         table = self._tables.get(request.table)
-        found: Changes | HistoryGone | None = None
+        found: Changes | HistoryTruncated | None = None
         if table is not None and request.after is None:
             found = table.mirror.snapshot()
         elif table is not None and request.after is not None:
@@ -497,7 +499,7 @@
                 res, 503, "nothing_known", place="table", message="not read yet"
             )
             return
-        if isinstance(found, HistoryGone):
+        if isinstance(found, HistoryTruncated):
             answer = _RowsAnswer(
                 version=0,
                 age_seconds=0.0,
--- a/celerytrail/relay/tablemirror.py
+++ b/celerytrail/relay/tablemirror.py
@@ -8,7 +8,7 @@
 from collections.abc import Callable, Sequence
 
 from ..clock import Clock
-from ..rowsource import Changes, HistoryGone, Row
+from ..rowsource import Changes, HistoryTruncated, Row
 from .tablewatch import TableSink
 
 # Changes kept for followers; one that lags further reads the whole table.
@@ -124,7 +124,7 @@
 
     async def follow(
         self, after: int, wait_seconds: float, *, useful_seconds: float = math.inf
-    ) -> Changes | HistoryGone | None:
+    ) -> Changes | HistoryTruncated | None:
         """Return the changes after a version, waiting for one if there is none.
 
         Parameters
@@ -159,12 +159,12 @@
 
     def _changes_since(
         self, after: int, waited_seconds: float
-    ) -> Changes | HistoryGone | None:
+    ) -> Changes | HistoryTruncated | None:
         age = self.age_seconds
         if age is None or self._version is None or self._history_start is None:
             return None
         if after < self._history_start:
-            return HistoryGone()
+            return HistoryTruncated()
         rows = tuple(row for row in self._changes if row.version > after)
         return Changes(
             rows=rows,
--- a/celerytrail/relay/tablewatch.py
+++ b/celerytrail/relay/tablewatch.py
@@ -12,7 +12,7 @@
 from result import Err
 
 from ..clock import Clock
-from ..rowsource import Changes, HistoryGone, Row, RowSource
+from ..rowsource import Changes, HistoryTruncated, Row, RowSource
 
 # How long an answer may take beyond the wait that the request asked for, in seconds. A
 # silent node is abandoned within it, with time left for the store's answer.
@@ -151,7 +151,7 @@
         )
         if isinstance(followed, Err):
             exc = followed.err_value
-            if isinstance(exc, HistoryGone):
+            if isinstance(exc, HistoryTruncated):
                 log_message("relay:table:history_gone", table=self._table)
                 self._version = None
                 return True
--- a/celerytrail/rowsource.py
+++ b/celerytrail/rowsource.py
@@ -49,7 +49,7 @@
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
-class HistoryGone:
+class HistoryTruncated:
     """The changes since that version are no longer kept; read the whole table."""
 
 
@@ -65,7 +65,7 @@
     @abc.abstractmethod
     async def follow(
         self, table: str, after: int, wait_seconds: float, deadline: float
-    ) -> Result[Changes, StoreUnavailable | HistoryGone]:
+    ) -> Result[Changes, StoreUnavailable | HistoryTruncated]:
         """Return the changes after a version, waiting a limited time for the first."""
 
     @abc.abstractmethod
--- a/celerytrail/services/calls.py
+++ b/celerytrail/services/calls.py
@@ -173,7 +173,7 @@
         except Exception as exc:
             # After a bug in this code the call may or may not have been sent.
             log_message("services:call_failed", problem=repr(exc))
-            return Err(Unknown(reason="internal", ask=_status_path(call)))
+            return Err(Unknown(reason="internal", status_path=_status_path(call)))
 
     async def _run_plain(self, call: ServiceCall) -> CallResult:
         attempt = self._new_attempt()
@@ -214,7 +214,9 @@
             case Err(Unknown(reason=reason, detail=detail)):
                 final = as_unknown(claim, reason)
                 result = Err(
-                    Unknown(reason=reason, detail=detail, ask=_status_path(call))
+                    Unknown(
+                        reason=reason, detail=detail, status_path=_status_path(call)
+                    )
                 )
         await self._recorder.record(claim_key, final, decision.version)
         return result
@@ -249,10 +251,12 @@
             case InProgress(outcome_due_at=outcome_due_at):
                 seconds = self._progress_retry_seconds(outcome_due_at)
                 return Err(
-                    CallInProgress(ask=_status_path(call) or "", retry_after=seconds)
+                    CallInProgress(
+                        status_path=_status_path(call) or "", retry_after=seconds
+                    )
                 )
             case NeverKnown(reason=reason):
-                return Err(Unknown(reason=reason, ask=_status_path(call)))
+                return Err(Unknown(reason=reason, status_path=_status_path(call)))
             case _:
                 raise AssertionError(f"{decision} requires the call to be sent")
 
--- a/celerytrail/services/endpoints.py
+++ b/celerytrail/services/endpoints.py
@@ -15,7 +15,7 @@
 from ..configuration.current import Configuration
 from ..configuration.document import EndpointSpec, VersionedDocument
 from ..http.client import HttpClient
-from ..leaving import LeavingBoard
+from ..leaving import LeavingTracker
 from ..metrics import Metrics
 from ..policies.loadreports import EndpointReport
 from ..types import Address
@@ -101,7 +101,7 @@
     ----------
     configuration : Configuration
         Provides the document that lists the endpoints.
-    leaving : LeavingBoard
+    leaving : LeavingTracker
         Holds which endpoints are leaving; updated from the document and from load
         reports.
     http : HttpClient
@@ -120,7 +120,7 @@
         self,
         *,
         configuration: Configuration,
-        leaving: LeavingBoard,
+        leaving: LeavingTracker,
         http: HttpClient,
         clock: Clock,
         rng: random.Random,
@@ -175,7 +175,7 @@
         """Prefer other endpoints for a while, as this one could not be reached."""
         view.suspect_until = self._clock.monotonic() + SUSPECT_SECONDS
 
-    def take_report(self, view: EndpointView, body: bytes) -> None:
+    def on_load_report(self, view: EndpointView, body: bytes) -> None:
         """Decode an endpoint's load report and apply it to its view."""
         try:
             report = msgspec.json.decode(body, type=EndpointReport)
@@ -189,7 +189,7 @@
         view.report = report
         view.suspect_until = 0.0
         if report.leaving_at is not None:
-            self._leaving.note(view.spec.name, "report", self._clock.wall())
+            self._leaving.record(view.spec.name, "report", self._clock.wall())
         else:
             self._leaving.withdraw(view.spec.name, "report")
 
@@ -209,13 +209,13 @@
         self._services = services
         names = {engine.name for engine in versioned.document.engines}
         names.update(name for s in services.values() for name in s.views)
-        self._leaving.forget_stale(names, self._clock.wall())
+        self._leaving.remove_stale(names, self._clock.wall())
         if self._is_running:
             self._start_pollers()
 
     def _apply_role(self, endpoint: EndpointSpec) -> None:
         if endpoint.role == "drain":
-            self._leaving.note(endpoint.name, "document", self._clock.wall())
+            self._leaving.record(endpoint.name, "document", self._clock.wall())
         else:
             self._leaving.withdraw(endpoint.name, "document")
 
@@ -237,7 +237,7 @@
                 address, "GET", "/load", deadline=deadline
             )
             if isinstance(polled, Ok) and polled.ok_value.status == 200:
-                self.take_report(view, polled.ok_value.body)
+                self.on_load_report(view, polled.ok_value.body)
             else:
                 self.record_failure(view)
             await asyncio.sleep(POLL_INTERVAL_SECONDS * self._rng.uniform(0.8, 1.2))
--- a/celerytrail/services/outcomes.py
+++ b/celerytrail/services/outcomes.py
@@ -58,13 +58,13 @@
 
     Parameters
     ----------
-    ask : str
+    status_path : str
         The path that returns the status of the call.
     retry_after : float
         Seconds after which its outcome should be known.
     """
 
-    ask: str
+    status_path: str
     retry_after: float
 
 
--- a/celerytrail/status.py
+++ b/celerytrail/status.py
@@ -8,7 +8,7 @@
 from .http.messages import Request
 from .http.routes import Params, Router, send_error
 from .http.server import Responder
-from .leaving import LeavingBoard
+from .leaving import LeavingTracker
 from .nodes.nodes import Nodes
 from .nodes.signing import PeerKeys
 
@@ -26,7 +26,7 @@
         Provides the members.
     sync : ConfigSync
         Provides the version in force.
-    leaving : LeavingBoard
+    leaving : LeavingTracker
         Provides the engines and endpoints that are leaving.
     keys : PeerKeys
         Verify the signatures of requests.
@@ -39,7 +39,7 @@
         *,
         nodes: Nodes,
         sync: ConfigSync,
-        leaving: LeavingBoard,
+        leaving: LeavingTracker,
         keys: PeerKeys,
         wall: Callable[[], float],
     ) -> None:
@@ -73,8 +73,8 @@
             for member in self._nodes.members()
         ]
         leaving = [
-            {"endpoint": fact.endpoint, "source": fact.source, "since": fact.at}
-            for fact in self._leaving.facts(now)
+            {"endpoint": fact.endpoint, "source": fact.source, "since": fact.known_at}
+            for fact in self._leaving.valid_notices(now)
         ]
         status: dict[str, object] = {
             "node": me.node,
--- a/celerytrail/types.py
+++ b/celerytrail/types.py
@@ -83,10 +83,10 @@
         A stable code for the cause, such as ``reply_lost``.
     detail : str
         An explanation in plain text.
-    ask : str or None
+    status_path : str or None
         The path at which the outcome can be queried.
     """
 
     reason: str
     detail: str = ""
-    ask: str | None = None
+    status_path: str | None = None
--- a/celerytrail/vmwatch.py
+++ b/celerytrail/vmwatch.py
@@ -11,7 +11,7 @@
 
 from .clock import Clock
 from .configuration.current import Configuration
-from .leaving import LeavingBoard
+from .leaving import LeavingTracker
 from .nodes.nodes import Nodes
 from .platform.vms import Vm, VmList, node_addresses
 
@@ -34,7 +34,7 @@
         Reads the platform's rows.
     nodes : Nodes
         Receives the addresses at which other nodes may listen.
-    leaving : LeavingBoard
+    leaving : LeavingTracker
         Receives the engines and endpoints on VMs that leave.
     configuration : Configuration
         Holds which engine or endpoint runs on which VM.
@@ -49,7 +49,7 @@
         *,
         vms: VmList,
         nodes: Nodes,
-        leaving: LeavingBoard,
+        leaving: LeavingTracker,
         configuration: Configuration,
         clock: Clock,
         rng: random.Random,
@@ -85,7 +85,7 @@
         now = self._clock.wall()
         listed = {name for name, vm in self._names_with_vms() if vm in leaving_vms}
         for name in listed - self._listed_leaving:
-            self._leaving.note(name, "vm_list", now)
+            self._leaving.record(name, "vm_list", now)
         for name in self._listed_leaving - listed:
             self._leaving.withdraw(name, "vm_list")
         self._listed_leaving = listed
--- a/celerytrail/wiring.py
+++ b/celerytrail/wiring.py
@@ -13,15 +13,15 @@
 from .callers.service_api import ServiceApi
 from .callers.tickets import TicketSigner
 from .clock import Clock
-from .configuration.collector import freeze_documents
 from .configuration.current import Configuration
 from .configuration.fetch import ObjectFetcher
+from .configuration.gcfreeze import freeze_documents
 from .configuration.sync import ConfigSync
 from .engines.client import EngineClient
 from .engines.streams import StreamPolicy
 from .http.client import HttpClient
 from .http.network import Network
-from .leaving import LeavingBoard, LeavingFact
+from .leaving import LeavingNotice, LeavingTracker
 from .metrics import Metrics
 from .nodes.admitters import HomeAdmitter
 from .nodes.fallback import FallbackChooser
@@ -56,7 +56,7 @@
 MILLISECONDS_PER_SECOND = 1_000
 # How long a gossiped announcement that an endpoint leaves stays valid after its time;
 # later, an endpoint of the same name may be a new one.
-GOSSIP_WORD_SECONDS = 300.0
+GOSSIP_ANNOUNCEMENT_SECONDS = 300.0
 # Interval at which a node repeats announcements from its own sources: longer than
 # `SAME_LEAVING_SECONDS`, so that a repeat counts as new, and short enough for two
 # repeats before the previous announcement expires.
@@ -76,7 +76,7 @@
     metrics: Metrics
     configuration: Configuration
     authenticator: Authenticator
-    leaving: LeavingBoard
+    leaving: LeavingTracker
     keys: PeerKeys
 
 
@@ -163,7 +163,7 @@
         metrics=context.metrics,
     )
     nodes.on_version(
-        lambda version, root, holder: sync.hear(
+        lambda version, root, holder: sync.record_version(
             version, root, holder.peer if holder is not None else None
         )
     )
@@ -174,19 +174,21 @@
     """Exchange announcements of leaving engines and endpoints with other nodes."""
     leaving = context.leaving
 
-    def announce(fact: LeavingFact) -> None:
+    def announce(fact: LeavingNotice) -> None:
         if fact.source != "gossip":
-            nodes.announce_leaving(fact.endpoint, fact.at)
+            nodes.announce_leaving(fact.endpoint, fact.known_at)
 
     def on_announcement(endpoint: str, at: float) -> None:
         now = context.clock.wall()
-        leaving.note(endpoint, "gossip", now, max(at, now) + GOSSIP_WORD_SECONDS)
+        leaving.record(
+            endpoint, "gossip", now, max(at, now) + GOSSIP_ANNOUNCEMENT_SECONDS
+        )
 
     leaving.subscribe(announce)
     nodes.on_leaving(on_announcement)
 
 
-async def keep_telling(context: NodeContext, nodes: Nodes) -> None:
+async def reannounce_leaving(context: NodeContext, nodes: Nodes) -> None:
     """Repeat announcements of leaving endpoints while this node's sources report them.
 
     Perhaps only one node can read the VM list, and an endpoint may take longer to leave
@@ -196,7 +198,7 @@
     while True:
         await asyncio.sleep(REANNOUNCE_SECONDS)
         now = context.clock.wall()
-        for fact in context.leaving.facts(now):
+        for fact in context.leaving.valid_notices(now):
             if fact.source != "gossip":
                 nodes.announce_leaving(fact.endpoint, now)
 
@@ -211,7 +213,7 @@
             leaving.withdraw(engine, "report")
             homes.refresh()
         else:
-            leaving.note(engine, "report", clock.wall())
+            leaving.record(engine, "report", clock.wall())
 
     homes = Homes(
         nodes=nodes,
--- a/tests/servicefakes.py
+++ b/tests/servicefakes.py
@@ -20,7 +20,7 @@
 )
 from celerytrail.http.client import HttpClient, Lost, NotSent
 from celerytrail.http.messages import Response
-from celerytrail.leaving import LeavingBoard
+from celerytrail.leaving import LeavingTracker
 from celerytrail.services.calls import ServiceCalls
 from celerytrail.services.claims import KeyReused
 from celerytrail.services.claimstore import ClaimStore
@@ -122,7 +122,7 @@
         self.clock = LoopClock()
         self.rng = random.Random(f"{name}{seed}")
         self.configuration = Configuration()
-        self.leaving = LeavingBoard()
+        self.leaving = LeavingTracker()
         self.directory = EndpointDirectory(
             configuration=self.configuration,
             leaving=self.leaving,
--- a/tests/test_claims.py
+++ b/tests/test_claims.py
@@ -200,7 +200,7 @@
         world.http.script = [fault]
         result = await world.a.file()
         assert word(result) == "unknown"
-        assert result.err_value.ask == "/v1/services/bookings/calls/k"
+        assert result.err_value.status_path == "/v1/services/bookings/calls/k"
         for _ in range(3):
             await asyncio.sleep(3600.0)
             assert word(await world.b.file()) == "unknown"
--- a/tests/test_configsync.py
+++ b/tests/test_configsync.py
@@ -98,7 +98,7 @@
         if self.cluster.is_gossiping:
             for other in self.cluster.nodes:
                 if other is not self:
-                    other.sync.hear(version, root, self.address)
+                    other.sync.record_version(version, root, self.address)
 
     @property
     def document(self):
@@ -237,7 +237,7 @@
         old_rows = dict(cluster.table.rows)
         await cluster.accept(document("b"))
         await asyncio.sleep(3)
-        node.sync.hear(1, first.root, Address(host="10.0.0.9", port=1))
+        node.sync.record_version(1, first.root, Address(host="10.0.0.9", port=1))
         cluster.table.stale_rows, cluster.table.n_stale_reads = old_rows, 5
         await asyncio.sleep(20)
         assert node.applied == [1, 2]
@@ -251,7 +251,7 @@
         await node.sync.stop()
         for name in ("b", "c", "d"):
             head = await cluster.accept(document(name))
-        node.sync.hear(2, (await root_of_version(cluster, 2)), None)
+        node.sync.record_version(2, (await root_of_version(cluster, 2)), None)
         await node.sync.start()
         await asyncio.sleep(3)
         assert (node.version, node.sync.root) == (4, head.root)
@@ -263,7 +263,7 @@
         await cluster.accept(document("a"))
         await asyncio.sleep(3)
         for _ in range(5):
-            node.sync.hear(1, "f" * 64)
+            node.sync.record_version(1, "f" * 64)
         assert b'problem="other_root",process="n0"} 1' in node.metrics.render()[0]
         assert node.document == document("a")
 
@@ -299,7 +299,7 @@
         await asyncio.sleep(3)
         assert node.version == 1
         assert node.document == document("a", "b")
-        assert node.fetcher.n_bytes["platform"] == 0
+        assert node.fetcher.n_bytes_by_source["platform"] == 0
 
     async def test_single_node_recovers_after_outage(self, cluster):
         cluster.table.is_down = cluster.objects.is_down = True
@@ -353,7 +353,7 @@
         await asyncio.sleep(3)
         corrupted.sync._tree.get = lambda digest: b"{}"
         booting = NodeUnderTest(cluster, 2, 3)
-        booting.sync.hear(1, good.sync.root, corrupted.address)
+        booting.sync.record_version(1, good.sync.root, corrupted.address)
         await booting.start()
         await asyncio.sleep(1)
         assert booting.version == 1
@@ -365,7 +365,9 @@
 
         async def report_invented_version():
             while True:
-                node.sync.hear(10**6, "f" * 64, Address(host="10.0.0.9", port=1))
+                node.sync.record_version(
+                    10**6, "f" * 64, Address(host="10.0.0.9", port=1)
+                )
                 await asyncio.sleep(0.01)
 
         reporting = asyncio.create_task(report_invented_version())
@@ -381,7 +383,7 @@
     )
     async def test_invalid_version_or_root_is_dropped(self, cluster, version, root):
         node = await cluster.add()
-        node.sync.hear(version, root)
+        node.sync.record_version(version, root)
         assert len(node.sync._targets) == 0
 
     @pytest.mark.parametrize("value", [None, [], {"version": "x"}, {"version": 1}])
@@ -435,6 +437,6 @@
         for digest in tree.digests():
             cluster.objects.objects[object_name(digest)] = tree.get(digest)
         assert digest_of(tree.get(tree.root)) == tree.root
-        node.sync.hear(5, tree.root)
+        node.sync.record_version(5, tree.root)
         await asyncio.sleep(5)
         assert node.version == 0
--- a/tests/test_configsync_fuzz.py
+++ b/tests/test_configsync_fuzz.py
@@ -53,9 +53,11 @@
             await node.sync.start()
         elif action == "old version" and heads:
             old = heads[amount % len(heads)]
-            node.sync.hear(old.version, old.root, cluster.nodes[amount % 3].address)
+            node.sync.record_version(
+                old.version, old.root, cluster.nodes[amount % 3].address
+            )
         elif action == "invented version":
-            node.sync.hear(amount, "f" * 64, Address(host="10.9.9.9", port=1))
+            node.sync.record_version(amount, "f" * 64, Address(host="10.9.9.9", port=1))
         elif action == "stale":
             cluster.table.n_stale_reads = amount
             cluster.table.stale_rows = dict(cluster.table.rows)
--- a/tests/test_console_app.py
+++ b/tests/test_console_app.py
@@ -45,7 +45,7 @@
         browser = Browser(client, await app.start())
         node = Node(cfg=node_settings(platform, free_address))
         in_force = asyncio.Event()
-        node.base.configuration.subscribe(lambda _: in_force.set())
+        node.context.configuration.subscribe(lambda _: in_force.set())
         await node.start()
         try:
             await browser.get("/")
--- a/tests/test_document_collector.py
+++ b/tests/test_document_collector.py
@@ -4,13 +4,13 @@
 
 import gc
 
-from celerytrail.configuration.collector import freeze_documents
 from celerytrail.configuration.current import Configuration
 from celerytrail.configuration.document import (
     Document,
     OrganisationSpec,
     VersionedDocument,
 )
+from celerytrail.configuration.gcfreeze import freeze_documents
 
 
 def offer(configuration, version, n_organisations):
--- a/tests/test_leaving.py
+++ b/tests/test_leaving.py
@@ -9,7 +9,7 @@
 import pytest
 
 from celerytrail.configuration.document import Document, EndpointSpec, VersionedDocument
-from celerytrail.leaving import LeavingBoard
+from celerytrail.leaving import LeavingTracker
 from celerytrail.policies.loadreports import EndpointReport
 from celerytrail.services.endpoints import EndpointView, choose
 from tests.servicefakes import BOOKINGS, World, word
@@ -18,17 +18,17 @@
 class TestLeavingBoard:
     @pytest.mark.parametrize("source", ["vm_list", "report", "document", "gossip"])
     def test_any_one_source_is_enough(self, source):
-        board = LeavingBoard()
-        assert board.note("e1", source, 10.0)
-        assert not board.note("e1", "report", 12.0)
+        board = LeavingTracker()
+        assert board.record("e1", source, 10.0)
+        assert not board.record("e1", "report", 12.0)
         assert board.is_leaving("e1", 10.0)
         assert board.earliest_notice("e1", 13.0).source == source
         assert not board.is_leaving("e2", 10.0)
 
     def test_source_withdraws_only_its_own_notice(self):
-        board = LeavingBoard()
-        board.note("e1", "document", 1.0)
-        board.note("e1", "vm_list", 2.0)
+        board = LeavingTracker()
+        board.record("e1", "document", 1.0)
+        board.record("e1", "vm_list", 2.0)
         board.withdraw("e1", "document")
         assert board.is_leaving("e1", 3.0)
         board.withdraw("e1", "vm_list")
@@ -38,29 +38,29 @@
         """The wall clock jumps back after an endpoint became known to leave. The
         endpoint must not get new work until the clock has caught up.
         """
-        board = LeavingBoard()
-        board.note("e1", "vm_list", 5_000.0)
+        board = LeavingTracker()
+        board.record("e1", "vm_list", 5_000.0)
         assert board.is_leaving("e1", 10.0)
 
     def test_gossip_expires_and_unlisted_names_are_forgotten(self):
-        board = LeavingBoard()
-        board.note("e1", "gossip", 1.0, expires_at=30.0)
-        board.note("gone", "vm_list", 1.0)
+        board = LeavingTracker()
+        board.record("e1", "gossip", 1.0, expires_at=30.0)
+        board.record("gone", "vm_list", 1.0)
         assert board.is_leaving("e1", 29.0)
         assert not board.is_leaving("e1", 31.0)
-        board.forget_stale({"e1"}, 31.0)
-        assert board.facts(2.0) == []
+        board.remove_stale({"e1"}, 31.0)
+        assert board.valid_notices(2.0) == []
 
     def test_notices_are_announced_at_once_and_repeatedly(self):
         """Notices from gossip expire after two minutes at other nodes. While a source
         repeats its notice, it must be announced again before that.
         """
-        board, announced = LeavingBoard(), []
+        board, announced = LeavingTracker(), []
         board.subscribe(announced.append)
         for at in range(1, 101):
-            board.note("e1", "gossip", float(at))
-            board.note("e1", "report", float(at))
-        notices = [(notice.source, notice.at) for notice in announced]
+            board.record("e1", "gossip", float(at))
+            board.record("e1", "report", float(at))
+        notices = [(notice.source, notice.known_at) for notice in announced]
         assert notices == [("gossip", 1.0)] + [("report", 1.0)] * 3
 
 
@@ -113,16 +113,16 @@
         node = world.a
         leaving = EndpointReport(endpoint="e1", incarnation="i", leaving_at=1e12)
         views = {v.spec.name: v for v in node.directory.views("bookings")}
-        node.directory.take_report(views["e1"], msgspec.json.encode(leaving))
+        node.directory.on_load_report(views["e1"], msgspec.json.encode(leaving))
         for n in range(20):
             chosen = node.directory.choose("bookings", ())
             assert chosen.spec.name == "e2", n
         other_leaving = replace(leaving, endpoint="e2")
-        node.directory.take_report(views["e2"], msgspec.json.encode(other_leaving))
+        node.directory.on_load_report(views["e2"], msgspec.json.encode(other_leaving))
         result = await node.file()
         assert (word(result), result.err_value.reason) == ("not_run", "no_endpoint")
         returned = replace(leaving, leaving_at=None)
-        node.directory.take_report(views["e1"], msgspec.json.encode(returned))
+        node.directory.on_load_report(views["e1"], msgspec.json.encode(returned))
         assert word(await node.file()) == "answered"
 
     async def test_leaving_by_document_role(self):
@@ -144,6 +144,6 @@
         target = directory.views("bookings")[0]
         other = EndpointReport(endpoint="zz", incarnation="i", leaving_at=1.0)
         for body in (b"{", b'{"endpoint": 5}', msgspec.json.encode(other)):
-            directory.take_report(target, body)
+            directory.on_load_report(target, body)
         assert target.report is None
         assert word(await world.a.file()) == "answered"
--- a/tests/test_peer_leaving.py
+++ b/tests/test_peer_leaving.py
@@ -9,7 +9,7 @@
 
 from celerytrail import wiring
 from celerytrail.clock import LoopClock
-from celerytrail.leaving import LeavingBoard
+from celerytrail.leaving import LeavingTracker
 from celerytrail.nodes.member import Member
 from celerytrail.nodes.table import MemberTable
 from celerytrail.types import Address
@@ -51,22 +51,22 @@
         """
         clock = LoopClock()
         first, second = (
-            SimpleNamespace(clock=clock, leaving=LeavingBoard()) for _ in range(2)
+            SimpleNamespace(clock=clock, leaving=LeavingTracker()) for _ in range(2)
         )
         first_nodes, second_nodes = FakeNodes(clock), FakeNodes(clock)
         first_nodes.peer_nodes, second_nodes.peer_nodes = second_nodes, first_nodes
         wiring.share_leaving(first, first_nodes)
         wiring.share_leaving(second, second_nodes)
         tasks = [
-            asyncio.create_task(wiring.keep_telling(base, nodes))
+            asyncio.create_task(wiring.reannounce_leaving(base, nodes))
             for base, nodes in ((first, first_nodes), (second, second_nodes))
         ]
-        first.leaving.note("engine-1", "vm_list", clock.wall())
+        first.leaving.record("engine-1", "vm_list", clock.wall())
         for _ in range(360):
             await asyncio.sleep(10.0)
             assert second.leaving.is_leaving("engine-1", clock.wall())
         first.leaving.withdraw("engine-1", "vm_list")
-        await asyncio.sleep(wiring.GOSSIP_WORD_SECONDS + 200.0)
+        await asyncio.sleep(wiring.GOSSIP_ANNOUNCEMENT_SECONDS + 200.0)
         assert not second.leaving.is_leaving("engine-1", clock.wall())
         for task in tasks:
             task.cancel()
--- a/tests/test_relay_decisions.py
+++ b/tests/test_relay_decisions.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from celerytrail.model import EndpointState, EngineFacts, EngineReport, Registration
+from celerytrail.model import EndpointState, EngineProfile, EngineReport, Registration
 from celerytrail.policies import moving, placing
 from celerytrail.policies.decodetimes import DEFAULT_TOKEN_SECONDS, DecodeTimes
 from celerytrail.policies.endpointchoice import EndpointChoice
@@ -24,7 +24,7 @@
 from celerytrail.relay.registry import LAPSE_GRACE_SECONDS, Registry
 from celerytrail.types import Address
 
-ENGINE = EngineFacts(
+ENGINE = EngineProfile(
     n_slots=24,
     n_memory_tokens=34_359,
     token_bytes=18_432,
--- a/tests/test_relay_platform.py
+++ b/tests/test_relay_platform.py
@@ -115,7 +115,7 @@
         draft, file = cfg.routes
         assert draft.kind is RouteKind.STREAM
         assert draft.timeout_seconds == 39.0
-        assert draft.pause_seconds == pytest.approx(0.18)
+        assert draft.target_gap_seconds == pytest.approx(0.18)
         assert [share.weight for share in file.shares] == [90, 10]
         engine = cfg.services["models"].engine
         assert engine is not None
--- a/tests/test_relay_sharing.py
+++ b/tests/test_relay_sharing.py
@@ -22,7 +22,13 @@
 )
 from celerytrail.relay.tablemirror import MAX_CHANGES, TableMirror
 from celerytrail.relay.tablewatch import OUTAGE_SECONDS, TableSink, TableWatch
-from celerytrail.rowsource import Changes, HistoryGone, Row, RowSource, StoreUnavailable
+from celerytrail.rowsource import (
+    Changes,
+    HistoryTruncated,
+    Row,
+    RowSource,
+    StoreUnavailable,
+)
 from celerytrail.types import Address
 
 CLOCK = SystemClock()
@@ -123,7 +129,7 @@
         # would miss the changes in between.
         source = ScriptedSource(
             Ok(Changes(rows=rows("a"), version=5)),
-            Err(HistoryGone()),
+            Err(HistoryTruncated()),
             Ok(Changes(rows=rows("c"), version=9)),
         )
         sink, _ = await self.follow(source)
@@ -133,7 +139,7 @@
         # An endpoint added since would be missing, and be treated as removed.
         source = ScriptedSource(
             Ok(Changes(rows=rows("a", "b"), version=9)),
-            Err(HistoryGone()),
+            Err(HistoryTruncated()),
             Ok(Changes(rows=rows("a"), version=4)),
             Ok(Changes(rows=rows("a", "b"), version=9)),
         )
@@ -335,7 +341,7 @@
             row = Row(key="a", value=value, version=number + 2)
             mirror.change([row], is_after_outage=False)
         mirror.confirm(MAX_CHANGES + 2, CLOCK.boottime())
-        assert isinstance(await mirror.follow(1, 0.0), HistoryGone)
+        assert isinstance(await mirror.follow(1, 0.0), HistoryTruncated)
 
 
 class TestPeerUpdates:
--- a/tests/test_services_api.py
+++ b/tests/test_services_api.py
@@ -23,7 +23,7 @@
 from celerytrail.http.client import HttpClient, NotSent
 from celerytrail.http.routes import Router
 from celerytrail.http.server import HttpServer
-from celerytrail.leaving import LeavingBoard
+from celerytrail.leaving import LeavingTracker
 from celerytrail.platform.client import PlatformClient
 from celerytrail.platform.grouping import GroupedTable
 from celerytrail.platform.table import HttpTable
@@ -74,7 +74,7 @@
             VersionedDocument(version=1, document=Document(services=(service,)))
         )
         self.http = HttpClient()
-        self.leaving = LeavingBoard()
+        self.leaving = LeavingTracker()
         self.directory = EndpointDirectory(
             configuration=self.configuration,
             leaving=self.leaving,
