--- a/bench/fleet.py
+++ b/bench/fleet.py
@@ -15,7 +15,7 @@
 from bench.fleetcallers import Caller, Ending, arrival_number
 from bench.fleetload import Arrival, FleetLoad, arrivals
 from celerytrail.clock import LoopClock
-from celerytrail.platform.nodefile import RelaySettings
+from celerytrail.platform.nodesettings import RelaySettings
 from celerytrail.policies.placing import PlacementPolicy
 from celerytrail.relay.node import RelayNode
 from celerytrail.types import Address
--- a/celerytrail/__main__.py
+++ b/celerytrail/__main__.py
@@ -6,7 +6,7 @@
 import sys
 
 from .footprint import leave_out_unused
-from .platform.nodefile import SETTINGS_VARIABLE
+from .platform.nodesettings import SETTINGS_VARIABLE
 
 
 def main() -> None:
--- a/celerytrail/callers/addresses.py
+++ b/celerytrail/callers/addresses.py
@@ -63,7 +63,7 @@
         Its wall time is the base of ``expires_at``.
     rng : random.Random
         Shuffles nodes of equal rank, so that callers don't all use the same first node.
-    address_seconds : float
+    address_ttl_seconds : float
         Time for which callers may use an answer, in seconds; a leaving node accepts
         requests for that long.
     """
--- a/celerytrail/callers/api.py
+++ b/celerytrail/callers/api.py
@@ -23,11 +23,11 @@
 from ..policies.retries import RetryPolicy
 from .answers import send_auth_error, send_findings
 from .auth import Authenticator
+from .cleanup import GenerationCleanup
 from .completions import CompletionRoutes
 from .context import Context, read_deadline, read_request_id
-from .endings import Endings
+from .disconnects import RESUME_GRACE_SECONDS, DisconnectHandler
 from .generations import GenerationRoutes
-from .leavers import RESUME_GRACE_SECONDS, Leavers
 from .starting import BackgroundTasks, GenerationStarter
 from .tickets import TicketSigner
 
@@ -109,8 +109,8 @@
         self._tasks = BackgroundTasks()
         self._n_streams = 0
         self.counters = StreamCounters()
-        endings = Endings(admitter=admitter, tasks=self._tasks)
-        leavers = Leavers(
+        cleanup = GenerationCleanup(admitter=admitter, tasks=self._tasks)
+        disconnects = DisconnectHandler(
             admitter=admitter,
             tasks=self._tasks,
             grace_seconds=limits.resume_grace_seconds,
@@ -130,8 +130,8 @@
             configuration=configuration,
             starter=starter,
             admitter=admitter,
-            endings=endings,
-            leavers=leavers,
+            cleanup=cleanup,
+            disconnects=disconnects,
             tickets=tickets,
             metrics=metrics,
             clock=clock,
@@ -141,8 +141,8 @@
         self._generations = GenerationRoutes(
             starter=starter,
             admitter=admitter,
-            endings=endings,
-            leavers=leavers,
+            cleanup=cleanup,
+            disconnects=disconnects,
             tickets=tickets,
             metrics=metrics,
             clock=clock,
--- a/celerytrail/callers/bodies.py
+++ b/celerytrail/callers/bodies.py
@@ -40,7 +40,7 @@
         Maximum number of output tokens; None for as many as the context holds.
     is_streamed, does_include_usage : bool
         Whether to stream the answer, and whether to end a stream with the usage.
-    timeout : float or None
+    timeout_seconds : float or None
         Time after which the caller stops waiting, in seconds.
     sampling : dict
         Options passed to the engine unchanged.
@@ -52,7 +52,7 @@
     n_max_tokens: int | None = None
     is_streamed: bool = False
     does_include_usage: bool = False
-    timeout: float | None = None
+    timeout_seconds: float | None = None
     sampling: dict[str, object] = field(default_factory=dict)
 
 
@@ -108,7 +108,7 @@
         is_streamed=raw.get("stream") is True,
         does_include_usage=isinstance(options, dict)
         and options.get("include_usage") is True,
-        timeout=float(timeout) if isinstance(timeout, int | float) else None,
+        timeout_seconds=float(timeout) if isinstance(timeout, int | float) else None,
         sampling={k: raw[k] for k in _SAMPLING_FIELDS if raw.get(k) is not None},
     )
 
--- a/celerytrail/callers/endings.py
+++ b/celerytrail/callers/cleanup.py
@@ -14,7 +14,7 @@
 CANCEL_REASONS = ("deadline", "too_large")
 
 
-class Endings:
+class GenerationCleanup:
     """Releases what a generation holds once its stream has ended.
 
     Parameters
--- a/celerytrail/callers/completions.py
+++ b/celerytrail/callers/completions.py
@@ -23,11 +23,11 @@
 from ..types import Finding
 from .answers import send_findings, send_lost, send_start_error
 from .bodies import GenerationBody, read_body
+from .cleanup import GenerationCleanup, abandon_on_disconnect
 from .context import Context
 from .delivery import Delivery, collect_tokens, deliver_events
-from .endings import Endings, abandon_on_disconnect
-from .leavers import Leavers
-from .shapes import SHAPES, AnswerHead, EventWriter
+from .disconnects import DisconnectHandler
+from .shapes import SHAPES, AnswerMetadata, EventWriter
 from .starting import (
     RETRY_AFTER_SECONDS,
     GenerationFailed,
@@ -54,9 +54,9 @@
         Starts generations.
     admitter : Admitter
         Gets the progress of each generation.
-    endings : Endings
+    cleanup : GenerationCleanup
         Releases what ended generations hold.
-    leavers : Leavers
+    disconnects : DisconnectHandler
         Cancels generations whose callers have disconnected.
     tickets : TicketSigner
         Issues tickets.
@@ -75,8 +75,8 @@
         configuration: Configuration,
         starter: GenerationStarter,
         admitter: Admitter,
-        endings: Endings,
-        leavers: Leavers,
+        cleanup: GenerationCleanup,
+        disconnects: DisconnectHandler,
         tickets: TicketSigner,
         metrics: Metrics,
         clock: Clock,
@@ -86,8 +86,8 @@
         self._configuration = configuration
         self._starter = starter
         self._admitter = admitter
-        self._cleanup = endings
-        self._disconnects = leavers
+        self._cleanup = cleanup
+        self._disconnects = disconnects
         self._tickets = tickets
         self._metrics = metrics
         self._clock = clock
@@ -145,8 +145,8 @@
             return Err(Finding(place=place, problem=problem))
         now = self._clock.monotonic()
         deadline = ctx.deadline
-        if body.timeout is not None:
-            deadline = min(deadline, now + body.timeout)
+        if body.timeout_seconds is not None:
+            deadline = min(deadline, now + body.timeout_seconds)
         action = current_action()
         return Ok(
             StartRequest(
@@ -274,7 +274,7 @@
             tokens, finished = collected.ok_value
             self._cleanup.on_end(started.stream, started.grant, finished)
             head = self._answer_head(req, started)
-            return Ok(SHAPES[req.body.shape].whole(head, tokens, finished))
+            return Ok(SHAPES[req.body.shape].response(head, tokens, finished))
         if collected.err_value.reason == "abandoned":
             self._disconnects.handle(started.stream, started.grant, can_return=False)
             return None
@@ -289,9 +289,11 @@
             on_progress=partial(self._admitter.progress, started.grant),
         )
 
-    def _answer_head(self, req: StartRequest, started: StartedGeneration) -> AnswerHead:
+    def _answer_head(
+        self, req: StartRequest, started: StartedGeneration
+    ) -> AnswerMetadata:
         prefix = SHAPES[req.body.shape].answer_prefix
-        return AnswerHead(
+        return AnswerMetadata(
             answer_id=f"{prefix}{started.grant.grant_id}",
             model=req.body.model,
             created=int(self._clock.wall()),
--- a/celerytrail/callers/leavers.py
+++ b/celerytrail/callers/disconnects.py
@@ -23,7 +23,7 @@
 N_MAX_PENDING_CANCELS = 2_000
 
 
-class Leavers:
+class DisconnectHandler:
     """Cancels generations whose callers have disconnected, after a grace period.
 
     Parameters
--- a/celerytrail/callers/generations.py
+++ b/celerytrail/callers/generations.py
@@ -21,11 +21,11 @@
 from ..policies.grants import Admitter, Grant
 from ..types import Address, Finding
 from .answers import retry_header, send_findings, send_lost, send_unknown_generation
+from .cleanup import GenerationCleanup, abandon_on_disconnect
 from .context import Context
 from .delivery import Delivery, collect_tokens, deliver_events
-from .endings import Endings, abandon_on_disconnect
-from .leavers import Leavers
-from .shapes import SHAPES, AnswerHead, EventWriter
+from .disconnects import DisconnectHandler
+from .shapes import SHAPES, AnswerMetadata, EventWriter
 from .starting import GenerationStarter
 from .tickets import Ticket, TicketSigner, split_event_id
 
@@ -76,9 +76,9 @@
         Opens streams.
     admitter : Admitter
         Gets the progress and the end of each generation.
-    endings : Endings
+    cleanup : GenerationCleanup
         Releases what ended generations hold.
-    leavers : Leavers
+    disconnects : DisconnectHandler
         Cancels generations whose callers have disconnected.
     tickets : TicketSigner
         Verifies and renews tickets.
@@ -95,8 +95,8 @@
         *,
         starter: GenerationStarter,
         admitter: Admitter,
-        endings: Endings,
-        leavers: Leavers,
+        cleanup: GenerationCleanup,
+        disconnects: DisconnectHandler,
         tickets: TicketSigner,
         metrics: Metrics,
         clock: Clock,
@@ -104,8 +104,8 @@
     ) -> None:
         self._starter = starter
         self._admitter = admitter
-        self._cleanup = endings
-        self._disconnects = leavers
+        self._cleanup = cleanup
+        self._disconnects = disconnects
         self._tickets = tickets
         self._metrics = metrics
         self._clock = clock
@@ -213,7 +213,7 @@
             tokens, finished = collected.ok_value
             self._cleanup.on_end(delivery.stream, grant, finished)
             shape = SHAPES[req.ticket.shape]
-            answer = shape.whole(self._answer_head(req.ticket), tokens, finished)
+            answer = shape.response(self._answer_head(req.ticket), tokens, finished)
             await res.send_json(200, {**answer, "from": req.offset}, ctx.headers)
             return
         lost = collected.err_value
@@ -301,9 +301,9 @@
         expires_at = self._clock.wall() + self._ticket_seconds
         return self._tickets.issue(replace(ticket, expires_at=expires_at))
 
-    def _answer_head(self, ticket: Ticket) -> AnswerHead:
+    def _answer_head(self, ticket: Ticket) -> AnswerMetadata:
         prefix = SHAPES[ticket.shape].answer_prefix
-        return AnswerHead(
+        return AnswerMetadata(
             answer_id=f"{prefix}{ticket.generation_id}",
             model=ticket.model,
             created=int(self._clock.wall()),
--- a/celerytrail/callers/memberaddresses.py
+++ b/celerytrail/callers/memberaddresses.py
@@ -19,7 +19,7 @@
 }
 
 
-class NodesSource(MemberSource):
+class GossipMemberSource(MemberSource):
     """Provides the members of the gossiped membership table.
 
     Parameters
--- a/celerytrail/callers/shapes.py
+++ b/celerytrail/callers/shapes.py
@@ -17,7 +17,7 @@
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
-class AnswerHead:
+class AnswerMetadata:
     """Fields common to all parts of one answer.
 
     Parameters
@@ -61,12 +61,12 @@
     def response_choice(self, text: str, finish_reason: str) -> dict[str, object]:
         """Return the single choice of a complete response."""
 
-    def opening_chunk(self, head: AnswerHead) -> dict[str, object] | None:
+    def opening_chunk(self, head: AnswerMetadata) -> dict[str, object] | None:
         """Return the chunk to send before the first token, if there is one."""
         return None
 
     def chunk(
-        self, head: AnswerHead, text: str, finish_reason: str | None
+        self, head: AnswerMetadata, text: str, finish_reason: str | None
     ) -> dict[str, object]:
         """Return one streamed chunk."""
         return {
@@ -77,7 +77,9 @@
             "choices": [self.chunk_choice(text, finish_reason)],
         }
 
-    def usage_chunk(self, head: AnswerHead, finished: Finished) -> dict[str, object]:
+    def usage_chunk(
+        self, head: AnswerMetadata, finished: Finished
+    ) -> dict[str, object]:
         """Return the chunk with the token usage."""
         return {
             **self.chunk(head, "", None),
@@ -85,8 +87,8 @@
             "usage": usage(finished),
         }
 
-    def whole(
-        self, head: AnswerHead, tokens: Iterable[bytes], finished: Finished
+    def response(
+        self, head: AnswerMetadata, tokens: Iterable[bytes], finished: Finished
     ) -> dict[str, object]:
         """Return a complete response built from the JSON strings of its tokens."""
         text = "".join(_decode_text(token) for token in tokens)
@@ -140,7 +142,7 @@
         message = {"role": "assistant", "content": text}
         return {"index": 0, "message": message, "finish_reason": finish_reason}
 
-    def opening_chunk(self, head: AnswerHead) -> dict[str, object] | None:
+    def opening_chunk(self, head: AnswerMetadata) -> dict[str, object] | None:
         """Return the chunk that sets the assistant's role."""
         chunk = self.chunk(head, "", None)
         delta = {"role": "assistant", "content": ""}
@@ -174,13 +176,13 @@
     ----------
     shape : Shape
         Response format.
-    head : AnswerHead
+    head : AnswerMetadata
         Fields common to all chunks.
     ticket : str
         Text of the ticket, for the event ids.
     """
 
-    def __init__(self, *, shape: Shape, head: AnswerHead, ticket: str) -> None:
+    def __init__(self, *, shape: Shape, head: AnswerMetadata, ticket: str) -> None:
         self._shape = shape
         self._head = head
         self._ticket = ticket
--- a/celerytrail/callers/starting.py
+++ b/celerytrail/callers/starting.py
@@ -23,7 +23,7 @@
 from ..engines.prefixes import estimate_tokens, prefix_hashes
 from ..engines.reader import TokenReader
 from ..engines.streams import EngineStream, StreamLost, StreamPolicy
-from ..engines.wire import BadReply, EngineRefused, Finished, GenerateOrder, Tokens
+from ..engines.wire import BadReply, EngineRefused, Finished, GenerateRequest, Tokens
 from ..policies.grants import AdmitRequest, Admitter, GenerationEnd, Grant
 from ..policies.retries import RetryPolicy
 from ..types import Address, NotRun
@@ -385,8 +385,8 @@
             is_final=lost.reason in ("deadline", "abandoned"),
         )
 
-    def _generate_order(self, req: StartRequest, grant: Grant) -> GenerateOrder:
-        return GenerateOrder(
+    def _generate_order(self, req: StartRequest, grant: Grant) -> GenerateRequest:
+        return GenerateRequest(
             generation_id=grant.grant_id,
             model=req.model,
             adapter=req.adapter,
--- a/celerytrail/callers/tickets.py
+++ b/celerytrail/callers/tickets.py
@@ -100,7 +100,7 @@
         Signing secrets by key id. Tickets of all of them are accepted, so a key is
         rotated by adding the new one at all nodes, then making it current, then
         removing the old one.
-    current : str
+    current_key_id : str
         Id of the key that signs new tickets.
     clock : Clock
         Its wall time decides when tickets expire.
--- a/celerytrail/cmdline.py
+++ b/celerytrail/cmdline.py
@@ -64,7 +64,7 @@
 
 def _run_from_file(flags: Mapping[str, str | None]) -> None:
     """Run a node from a platform's settings file if the environment names one."""
-    from .platform.nodefile import SETTINGS_VARIABLE
+    from .platform.nodesettings import SETTINGS_VARIABLE
 
     path = os.environ.get(SETTINGS_VARIABLE)
     if path is None:
--- a/celerytrail/engines/client.py
+++ b/celerytrail/engines/client.py
@@ -20,7 +20,7 @@
     EngineLost,
     EngineOrder,
     EngineRefused,
-    GenerateOrder,
+    GenerateRequest,
     NewerReader,
     OrderExpired,
     StaleFencing,
@@ -60,7 +60,7 @@
     async def generate(
         self,
         address: Address,
-        req: GenerateOrder,
+        req: GenerateRequest,
         *,
         deadline: float,
         request_deadline: float | None = None,
@@ -72,7 +72,7 @@
         ----------
         address : Address
             The engine.
-        req : GenerateOrder
+        req : GenerateRequest
             The generation's prompt and options.
         deadline : float
             Monotonic time by which the response head must have arrived.
--- a/celerytrail/engines/streams.py
+++ b/celerytrail/engines/streams.py
@@ -52,7 +52,7 @@
         Time between tokens above which the metrics count a stall.
     head_seconds : float
         Timeout for the response head of a stream.
-    recover_seconds : float
+    unreachable_retry_seconds : float
         How long an unreachable engine is retried.
     n_max_breaks, n_max_first_breaks : int
         Consecutive breaks without a token after which the engine counts as broken;
@@ -66,7 +66,7 @@
     max_stall_seconds: float = 24.0
     counted_stall_seconds: float = 0.5
     head_seconds: float = 3.0
-    recover_seconds: float = 10.0
+    unreachable_retry_seconds: float = 10.0
     n_max_breaks: int = 6
     n_max_first_breaks: int = 1
     backoff_seconds: float = 0.05
@@ -337,7 +337,7 @@
         give_up_at = self._clock.monotonic()
         if self.offset > 0:
             # Before its first token a generation is better restarted at another engine.
-            give_up_at += policy.recover_seconds
+            give_up_at += policy.unreachable_retry_seconds
         backoff = policy.backoff_seconds
         n_max_breaks = policy.n_max_breaks
         if self.offset == 0:
--- a/celerytrail/engines/wire.py
+++ b/celerytrail/engines/wire.py
@@ -12,7 +12,7 @@
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
-class GenerateOrder:
+class GenerateRequest:
     """Holds the request for a generation, as it is sent to an engine.
 
     Parameters
--- a/celerytrail/http/client.py
+++ b/celerytrail/http/client.py
@@ -41,14 +41,14 @@
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
-class Lost:
+class RequestLost:
     """Reports that no complete answer arrived; the peer may have run the request."""
 
     reason: str
     detail: str = ""
 
 
-ClientError = NotSent | Lost
+ClientError = NotSent | RequestLost
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
@@ -84,7 +84,7 @@
 
     async def next_chunk(
         self, deadline: float | None = None
-    ) -> Result[bytes | None, Lost]:
+    ) -> Result[bytes | None, RequestLost]:
         """Return the next chunk of the body, or None at its proper end.
 
         Parameters
@@ -95,28 +95,28 @@
         if self._is_abandoned:
             # Another task has closed the answer; that must not look like its proper
             # end.
-            return Err(Lost(reason="abandoned"))
+            return Err(RequestLost(reason="abandoned"))
         if self._is_ended:
             return Ok(None)
         try:
             event = await self._conn.next_event(deadline)
         except TimeoutError:
             self.close()
-            return Err(Lost(reason="stalled"))
+            return Err(RequestLost(reason="stalled"))
         except asyncio.CancelledError:
             self.close()
             raise
         except PeerError as exc:
             # A truncated answer is an error, not a short answer.
             self.close()
-            return Err(Lost(reason="cut", detail=str(exc)))
+            return Err(RequestLost(reason="cut", detail=str(exc)))
         if isinstance(event, h11.Data):
             return Ok(bytes(event.data))
         self._is_ended = True
         self._client.release(self._address, self._conn, self.headers)
         return Ok(None)
 
-    async def read(self, deadline: float | None = None) -> Result[bytes, Lost]:
+    async def read(self, deadline: float | None = None) -> Result[bytes, RequestLost]:
         """Return the remaining body."""
         body = bytearray()
         while True:
@@ -130,7 +130,7 @@
                     return Err(lost)
             if len(body) > MAX_RESPONSE_BYTES:
                 self.close()
-                return Err(Lost(reason="too_large"))
+                return Err(RequestLost(reason="too_large"))
 
     def close(self) -> None:
         """Abandon the answer and close its connection.
@@ -173,7 +173,7 @@
         self._allows_unframed = allows_unframed
         self._exchange_numbers = itertools.count(1)
         self._idle: dict[Address, list[_IdleConnection]] = {}
-        self.n_connected = 0
+        self.n_connections_made = 0
 
     async def request(
         self,
@@ -293,10 +293,10 @@
             event = await _read_final_head(conn, deadline)
         except TimeoutError:
             conn.abort()
-            return Err(Lost(reason="timeout"))
+            return Err(RequestLost(reason="timeout"))
         except PeerError as exc:
             conn.abort()
-            return Err(Lost(reason="cut", detail=str(exc)))
+            return Err(RequestLost(reason="cut", detail=str(exc)))
         except BaseException:
             # The answer to a cancelled exchange may still arrive; if the connection
             # were pooled, the next request on it would receive that answer.
@@ -304,7 +304,7 @@
             raise
         if not isinstance(event, h11.Response):
             conn.abort()
-            return Err(Lost(reason="cut", detail="closed before its answer"))
+            return Err(RequestLost(reason="cut", detail="closed before its answer"))
         return self._check_head(conn, address, event, request_id)
 
     def release(
@@ -355,11 +355,15 @@
         headers = header_map(list(head.headers))
         if self._id_header and headers.get(self._id_header) != request_id:
             conn.abort()
-            return Err(Lost(reason="crossed", detail="the answer has another id"))
+            return Err(
+                RequestLost(reason="crossed", detail="the answer has another id")
+            )
         is_framed = "content-length" in headers or "transfer-encoding" in headers
         if not is_framed and not self._allows_unframed:
             conn.abort()
-            return Err(Lost(reason="unframed", detail="the answer has no length"))
+            return Err(
+                RequestLost(reason="unframed", detail="the answer has no length")
+            )
         return Ok(
             Stream(
                 client=self,
@@ -391,7 +395,7 @@
             return Err(NotSent(reason="connect_timeout", detail=str(address)))
         except OSError as exc:
             return Err(NotSent(reason="connect_refused", detail=f"{address}: {exc}"))
-        self.n_connected += 1
+        self.n_connections_made += 1
         return Ok(conn)
 
     def _send_request(
--- a/celerytrail/operators/actions.py
+++ b/celerytrail/operators/actions.py
@@ -31,7 +31,7 @@
     Loaded,
     LoadError,
 )
-from .pages import Visit, fields_again, item_values, review_values
+from .pages import Visit, fields_to_repost, item_values, review_values
 from .store import DocumentStore
 
 ACCEPT_SECONDS = 8.0
@@ -274,7 +274,7 @@
             version=head.version,
             operation=head.operation_id,
         )
-        await self._live.hint(head)
+        await self._live.send_hint(head)
         newest = Loaded(head=head, document=document)
         new_visit = Visit(
             session=visit.session,
@@ -305,7 +305,7 @@
                 message="The platform did not answer, so the version may or may not"
                 " have been accepted. Ask again: if it was, you are told so; if not,"
                 " it is tried anew. It can't be accepted twice.",
-                fields=fields_again(values),
+                fields=fields_to_repost(values),
                 button="Ask again",
                 is_problem=True,
             )
@@ -319,7 +319,7 @@
                 title="Another version came first",
                 message=f"Version {error.head.version} by {error.head.author} came"
                 " first; nothing of yours took effect. It can't be loaded just now.",
-                fields=fields_again(values),
+                fields=fields_to_repost(values),
                 button="Try again",
                 is_problem=True,
             )
@@ -386,7 +386,7 @@
             title="Not done",
             message=message,
             findings=findings,
-            fields=fields_again(values),
+            fields=fields_to_repost(values),
             button="Try again",
             is_problem=True,
         )
--- a/celerytrail/operators/answers.py
+++ b/celerytrail/operators/answers.py
@@ -58,7 +58,7 @@
     is_problem: bool = False
 
 
-class Screen:
+class PageSender:
     """Sends answers as pages, with the form token of the session.
 
     Parameters
--- a/celerytrail/operators/app.py
+++ b/celerytrail/operators/app.py
@@ -87,7 +87,7 @@
             objects=HttpObjectStore(exchanger=exchanger),
             clock=self._clock,
             rng=self._rng,
-            find_spare=self._live.find_object,
+            fetch_from_node=self._live.find_object,
         )
         router = Router()
         router.add("GET", "/healthz", _health)
--- a/celerytrail/operators/console.py
+++ b/celerytrail/operators/console.py
@@ -20,7 +20,7 @@
 from ..http.routes import Params, Router
 from ..http.server import Responder
 from .actions import Actions
-from .answers import HTML, SECURITY_HEADERS, Answer, Screen
+from .answers import HTML, SECURITY_HEADERS, Answer, PageSender
 from .drafts import Draft, decode_draft
 from .forms import FormValues, first
 from .live import LiveView
@@ -62,12 +62,12 @@
         self._store = store
         self._clock = clock
         pages = Pages()
-        self._screen = Screen(pages=pages, sessions=sessions)
+        self._page_sender = PageSender(pages=pages, sessions=sessions)
         self._sign_in = SignIn(
             accounts=accounts,
             sessions=sessions,
             pages=pages,
-            screen=self._screen,
+            page_sender=self._page_sender,
             clock=clock,
         )
         self._actions = Actions(store=store, live=live, clock=clock)
@@ -102,7 +102,7 @@
         target = params.get("target") or "overview"
         visit = opened.ok_value
         answer = await self._views.show(visit, target, values)
-        await self._screen.send(res, visit, answer, target)
+        await self._page_sender.send(res, visit, answer, target)
 
     async def _get_document(self, req: Request, res: Responder, _: Params) -> None:
         session = self._sign_in.session_of(req)
@@ -130,10 +130,10 @@
         values = parse_upload(req.headers.get("content-type", ""), req.body)
         session = self._sign_in.session_of(req)
         if session is None:
-            await self._sign_in.send_session_ended(req, res, values)
+            await self._sign_in.send_session_expired(req, res, values)
             return
         if values is None or not self._sign_in.is_genuine(req, session, values):
-            await self._sign_in.send_forged(req, res, session)
+            await self._sign_in.refuse_forged_form(req, res, session)
             return
         draft: Draft | None = None
         if first(values, "draft"):
@@ -147,7 +147,7 @@
                     message=str(finding),
                     is_problem=True,
                 )
-                await self._screen.send_plain(res, session, refusal)
+                await self._page_sender.send_plain(res, session, refusal)
                 return
             draft = decoded.ok_value
         opened = await self._load_visit(session, draft)
@@ -164,9 +164,9 @@
             page = await self._views.show(visit, answer.target, values)
             status = max(answer.status, page.status)
             page = replace(page, notice=answer.notice, status=status)
-            await self._screen.send(res, visit, page, answer.target)
+            await self._page_sender.send(res, visit, page, answer.target)
             return
-        await self._screen.send(res, visit, answer)
+        await self._page_sender.send(res, visit, answer)
 
     # Shared by links and forms.
 
@@ -196,7 +196,7 @@
         self, res: Responder, session: Session, error: LoadError, values: FormValues
     ) -> None:
         answer = self._actions.unavailable(error, values)
-        await self._screen.send_plain(res, session, answer)
+        await self._page_sender.send_plain(res, session, answer)
 
     def _deadline(self) -> float:
         return self._clock.monotonic() + LOAD_SECONDS
--- a/celerytrail/operators/live.py
+++ b/celerytrail/operators/live.py
@@ -101,7 +101,7 @@
             )
         return statuses
 
-    async def hint(self, head: Head) -> None:
+    async def send_hint(self, head: Head) -> None:
         """Send a hint about a newly accepted version to a few nodes.
 
         It saves the second or two until the first node polls; nothing depends on it.
--- a/celerytrail/operators/pages.py
+++ b/celerytrail/operators/pages.py
@@ -142,7 +142,9 @@
             when=_format_time, shorten=_shorten, an=_with_article
         )
 
-    def bare(self, template: str, *, title: str, token: str, **values: Any) -> bytes:
+    def render_logged_out(
+        self, template: str, *, title: str, token: str, **values: Any
+    ) -> bytes:
         """Render a page for a client that is not logged in."""
         context = {"operator": "", "n_edits": 0, "notice": "", **values}
         return self._render(template, title=title, token=token, **context)
@@ -289,7 +291,7 @@
     return {"statuses": nodes, "by_version": by_version, "problem": problem}
 
 
-def fields_again(values: FormValues) -> list[tuple[str, str]]:
+def fields_to_repost(values: FormValues) -> list[tuple[str, str]]:
     """Return posted fields as pairs, without the token, for posting them again."""
     return [
         (name, value)
--- a/celerytrail/operators/signin.py
+++ b/celerytrail/operators/signin.py
@@ -9,9 +9,9 @@
 from ..http.messages import Request
 from ..http.routes import Params, Router
 from ..http.server import Responder
-from .answers import HTML, Answer, Screen
+from .answers import HTML, Answer, PageSender
 from .forms import FormValues, first, parse_form
-from .pages import Pages, fields_again
+from .pages import Pages, fields_to_repost
 from .sessions import Accounts, Session, Sessions
 
 
@@ -26,7 +26,7 @@
         Signs and verifies cookies and form tokens.
     pages : Pages
         Renders the login form.
-    screen : Screen
+    page_sender : PageSender
         Sends pages to operators who are logged in.
     clock : Clock
         Gives monotonic time for the rate limit on guessing passwords.
@@ -38,13 +38,13 @@
         accounts: Accounts,
         sessions: Sessions,
         pages: Pages,
-        screen: Screen,
+        page_sender: PageSender,
         clock: Clock,
     ) -> None:
         self._accounts = accounts
         self._sessions = sessions
         self._pages = pages
-        self._screen = screen
+        self._page_sender = page_sender
         self._clock = clock
 
     def add_routes(self, router: Router) -> None:
@@ -66,7 +66,7 @@
             return False
         return self._sessions.is_form_token(session, first(values, "token"))
 
-    async def send_session_ended(
+    async def send_session_expired(
         self, req: Request, res: Responder, values: FormValues | None
     ) -> None:
         """Send the login form, which carries the typed values of an expired session."""
@@ -75,11 +75,13 @@
         if expired is not None and values and self.is_genuine(req, expired, values):
             # Only the operator's own form is carried over, and it is signed. Otherwise
             # a forged form would await the operator's confirmation after the login.
-            fields = msgspec.json.encode(fields_again(values))
+            fields = msgspec.json.encode(fields_to_repost(values))
             resume = self._sessions.sign_text(fields.decode())
         await self._send_login(res, 403, resume=resume)
 
-    async def send_forged(self, req: Request, res: Responder, session: Session) -> None:
+    async def refuse_forged_form(
+        self, req: Request, res: Responder, session: Session
+    ) -> None:
         """Refuse a form that another site may have made the browser send."""
         log_message("console:forged", operator=session.operator, peer=req.peer)
         answer = Answer(
@@ -90,7 +92,7 @@
             " the page again and repeat the change.",
             is_problem=True,
         )
-        await self._screen.send_plain(res, session, answer)
+        await self._page_sender.send_plain(res, session, answer)
 
     async def _get_login(self, req: Request, res: Responder, _: Params) -> None:
         await self._send_login(res, 200)
@@ -98,7 +100,7 @@
     async def _send_login(
         self, res: Responder, status: int, *, problem: str = "", resume: str = ""
     ) -> None:
-        page = self._pages.bare(
+        page = self._pages.render_logged_out(
             "login.html",
             title="Log in",
             token=self._sessions.login_token(),
@@ -141,13 +143,13 @@
             button="Go on with what I typed",
             fields=msgspec.json.decode(fields, type=list[tuple[str, str]]),
         )
-        await self._screen.send_plain(res, session, resume_page, headers)
+        await self._page_sender.send_plain(res, session, resume_page, headers)
 
     async def _post_logout(self, req: Request, res: Responder, _: Params) -> None:
         session = self.session_of(req)
         values = parse_form(req.body) or {}
         if session is not None and not self.is_genuine(req, session, values):
-            await self.send_forged(req, res, session)
+            await self.refuse_forged_form(req, res, session)
             return
         headers = {**HTML, "set-cookie": self._sessions.clear_cookie()}
         await res.send(303, b"", {**headers, "location": "/login"})
--- a/celerytrail/operators/store.py
+++ b/celerytrail/operators/store.py
@@ -76,7 +76,7 @@
         Wall time stamps accepted versions; monotonic time bounds the retries.
     rng : random.Random
         Adds jitter to the backoff between attempts.
-    find_spare : callable or None
+    fetch_from_node : callable or None
         Fetches an object that the platform has lost or damaged from a node. Nodes
         hold the objects of the version in force in memory.
     """
@@ -88,9 +88,9 @@
         objects: ObjectStore,
         clock: Clock,
         rng: random.Random,
-        find_spare: FetchFromNode | None = None,
+        fetch_from_node: FetchFromNode | None = None,
     ) -> None:
-        self._fetch_from_node = find_spare
+        self._fetch_from_node = fetch_from_node
         self._table = table
         self._objects = objects
         self._clock = clock
--- a/celerytrail/platform/backoff.py
+++ b/celerytrail/platform/backoff.py
@@ -9,7 +9,7 @@
 RETRY_AFTER_MAX_SECONDS = 3600.0
 
 
-def sane_retry_after(seconds: float) -> float:
+def clamp_retry_after(seconds: float) -> float:
     """Clamp a peer's Retry-After to a plausible range, in seconds.
 
     The value is passed on to callers. A faulty peer could otherwise make them wait a
@@ -54,7 +54,7 @@
         self._n_reserve = n_reserve
         self._level = n_reserve
 
-    def note_first_try(self) -> None:
+    def record_first_try(self) -> None:
         """Add a first try's share to the budget."""
         self._level = min(self._level + self._ratio, self._n_reserve)
 
@@ -80,7 +80,7 @@
         Draws the pauses.
     n_failures : int
         Consecutive failures that open it.
-    most_seconds : float
+    max_pause_seconds : float
         Longest pause between two probes.
     """
 
@@ -89,11 +89,11 @@
         *,
         rng: random.Random,
         n_failures: int = 5,
-        most_seconds: float = BACKOFF_MAX_SECONDS,
+        max_pause_seconds: float = BACKOFF_MAX_SECONDS,
     ) -> None:
         self._rng = rng
         self._failure_threshold = n_failures
-        self._most_seconds = most_seconds
+        self._most_seconds = max_pause_seconds
         self._n_failures = 0
         self._next_probe_at = 0.0
         self._is_probing = False
--- a/celerytrail/platform/client.py
+++ b/celerytrail/platform/client.py
@@ -17,7 +17,7 @@
 from ..metrics import Metrics
 from ..types import Address
 from . import storewire
-from .backoff import Breaker, RetryBudget, full_jitter, sane_retry_after
+from .backoff import Breaker, RetryBudget, clamp_retry_after, full_jitter
 
 DEFAULT_RETRY_AFTER_SECONDS = 1.0
 
@@ -236,7 +236,7 @@
     async def _retry_loop(
         self, attempt: Callable[[float], Awaitable[_ExchangeResult]], deadline: float
     ) -> Result[Response, Unavailable | InDoubt]:
-        self._budget.note_first_try()
+        self._budget.record_first_try()
         n_failures = 0
         while True:
             wait = self._breaker.wait_seconds(self._clock.monotonic())
@@ -304,7 +304,7 @@
             return Unavailable(reason=reason)
         return Unavailable(
             reason=reason,
-            retry_after=sane_retry_after(retry_after),
+            retry_after=clamp_retry_after(retry_after),
             is_retry_after_stated=True,
         )
     if is_repeatable:
--- a/celerytrail/platform/wire.py
+++ b/celerytrail/platform/wire.py
@@ -70,7 +70,7 @@
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
-class ForwardFacts:
+class ForwardMetadata:
     """Metadata that the system adds to a request that it forwards.
 
     Parameters
@@ -101,14 +101,14 @@
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
-class Moved:
+class CompletedMove:
     """A completed copy of a run: its name and the number of events made so far."""
 
     handle: str
     n_events: int
 
 
-def caller_facts(req: Request) -> RequestMetadata:
+def decode_request_metadata(req: Request) -> RequestMetadata:
     """Decode the caller's headers; values that can't be decoded count as missing."""
     headers = req.headers
     scheme, _, key = headers.get("authorization", "").partition(" ")
@@ -131,7 +131,7 @@
     )
 
 
-def forward_headers(req: Request, facts: ForwardFacts) -> list[tuple[str, str]]:
+def forward_headers(req: Request, facts: ForwardMetadata) -> list[tuple[str, str]]:
     """Return the headers for an endpoint: the caller's and the system's."""
     connection_headers = {
         name.strip().lower()
@@ -178,7 +178,7 @@
     return _NOT_RUN in headers or status == 421
 
 
-def is_own_answer(headers: Mapping[str, str]) -> bool:
+def is_sealed_answer(headers: Mapping[str, str]) -> bool:
     """Return whether an answer has an endpoint's seal and can be passed on."""
     return SEAL_HEADER in headers and "content-encoding" not in headers
 
@@ -218,11 +218,15 @@
     return msgspec.json.encode({"id": attempt_id, "to": str(target), "last": is_last})
 
 
-def decode_moved(body: bytes) -> Result[Moved, str]:
+def decode_completed_move(body: bytes) -> Result[CompletedMove, str]:
     """Decode the answer to a completed move."""
     try:
         raw = msgspec.json.decode(body)
-        return Ok(Moved(handle=str(raw["handle"]), n_events=int(raw.get("created", 0))))
+        return Ok(
+            CompletedMove(
+                handle=str(raw["handle"]), n_events=int(raw.get("created", 0))
+            )
+        )
     except (
         msgspec.DecodeError,
         UnicodeDecodeError,
@@ -239,7 +243,7 @@
     return f"/api/kv-handle/{quote(handle, safe='')}"
 
 
-def asked_domain(req: Request) -> str:
+def requested_domain(req: Request) -> str:
     """Return the failure domain of a caller who requests addresses."""
     return parse_qs(req.query).get("zone", [""])[0]
 
--- a/celerytrail/relay/addresses.py
+++ b/celerytrail/relay/addresses.py
@@ -57,7 +57,7 @@
         if req.path != wire.ADDRESSES_PATH:
             await res.send(404)
             return
-        domain = wire.asked_domain(req)
+        domain = wire.requested_domain(req)
         addresses = choose_addresses(list(self._nodes.members()), domain, self._rng)
         body = wire.encode_addresses(addresses, self._seconds)
         await res.send(200, body, {"content-type": "application/json"})
--- a/celerytrail/relay/calls.py
+++ b/celerytrail/relay/calls.py
@@ -7,7 +7,7 @@
 
 from result import Err
 
-from ..http.client import HttpClient, Lost, NotSent
+from ..http.client import HttpClient, NotSent, RequestLost
 from ..http.messages import Response
 from ..model import Registration, RouteKind
 from ..platform import wire
@@ -259,7 +259,7 @@
     async def _send(self, ex: Exchange, reg: Registration) -> Outcome:
         if ex.seconds_left <= 0:
             return Failed(reason="timeout")
-        facts = wire.ForwardFacts(
+        facts = wire.ForwardMetadata(
             endpoint=reg.endpoint,
             budget_seconds=ex.seconds_left,
             organisation=ex.organisation,
@@ -284,13 +284,13 @@
         stream = opened.ok_value
         body = await stream.read(ex.loop_deadline)
         if isinstance(body, Err):
-            lost: Lost = body.err_value
+            lost: RequestLost = body.err_value
             ex.log("attempt_failed", endpoint=reg.endpoint, reason=lost.reason)
             return Failed(reason=lost.reason)
         if wire.is_not_run(stream.status, stream.headers):
             ex.log("attempt_refused", endpoint=reg.endpoint, status=stream.status)
             return NotExecuted(reason="endpoint_refused", was_sent=True)
-        if not wire.is_own_answer(stream.headers):
+        if not wire.is_sealed_answer(stream.headers):
             ex.log("attempt_failed", endpoint=reg.endpoint, reason="unsealed")
             return Failed(reason="unsealed")
         res = Response(status=stream.status, headers=stream.headers, body=body.ok_value)
--- a/celerytrail/relay/daemon.py
+++ b/celerytrail/relay/daemon.py
@@ -13,8 +13,8 @@
 from result import Err
 
 from ..log import log_to_output
-from ..platform import nodefile
-from ..platform.nodefile import RelaySettings
+from ..platform import nodesettings
+from ..platform.nodesettings import RelaySettings
 from ..types import Finding
 from .node import RelayNode
 
--- a/celerytrail/relay/engineapi.py
+++ b/celerytrail/relay/engineapi.py
@@ -63,7 +63,7 @@
         *,
         is_last: bool,
         deadline: float,
-    ) -> Result[wire.Moved, CopyFailed]:
+    ) -> Result[wire.CompletedMove, CopyFailed]:
         """Copy a run's memory to another engine; the last copy stops the run."""
         answered = await self._client.request(
             source,
@@ -76,7 +76,7 @@
         if isinstance(answered, Err):
             return Err(CopyFailed(reason=answered.err_value.reason))
         res = answered.ok_value
-        moved = wire.decode_moved(res.body)
+        moved = wire.decode_completed_move(res.body)
         if res.status != 200 or isinstance(moved, Err):
             handle = None if isinstance(moved, Err) else moved.ok_value.handle
             return Err(CopyFailed(reason="refused", status=res.status, handle=handle))
--- a/celerytrail/relay/engineopener.py
+++ b/celerytrail/relay/engineopener.py
@@ -48,7 +48,7 @@
         ex = live.ex
         if ex.seconds_left <= 0:
             return Err(Failed(reason="timeout"))
-        facts = wire.ForwardFacts(
+        facts = wire.ForwardMetadata(
             endpoint=reg.endpoint,
             budget_seconds=ex.seconds_left,
             organisation=ex.organisation,
--- a/celerytrail/relay/generations.py
+++ b/celerytrail/relay/generations.py
@@ -131,7 +131,7 @@
             await self._refuse_unstarted(live, started.err_value)
             return
         live.stream = started.ok_value
-        if not wire.is_own_answer(live.stream.headers):
+        if not wire.is_sealed_answer(live.stream.headers):
             live.ex.log("failed", reason="unsealed")
             await refuse(
                 live.ex.res, 502, "unsealed", attempt_id=live.ex.facts.attempt_id
--- a/celerytrail/relay/handler.py
+++ b/celerytrail/relay/handler.py
@@ -87,7 +87,7 @@
         """Answer one request."""
         arrived_at = self._clock.boottime()
         cfg = self._config()
-        facts = wire.caller_facts(req)
+        facts = wire.decode_request_metadata(req)
         if cfg is None:
             await self._refuse(
                 res, facts, 503, "no_configuration", can_retry_elsewhere=True
--- a/celerytrail/relay/node.py
+++ b/celerytrail/relay/node.py
@@ -22,8 +22,8 @@
 from ..nodes.nodes import Nodes
 from ..nodes.signing import PeerKeys
 from ..platform import storewire, wire
-from ..platform.nodefile import RelaySettings
 from ..platform.noderows import NodeRows
+from ..platform.nodesettings import RelaySettings
 from ..platform.operatorconfig import decode_config
 from ..platform.registrations import decode_registration
 from ..policies.decodetimes import DecodeTimes
--- a/celerytrail/relay/runmover.py
+++ b/celerytrail/relay/runmover.py
@@ -274,7 +274,7 @@
         deadline: float,
     ) -> Result[Copied, CopyFailed]:
         """Copy a run while it continues, then stop it and copy the rest."""
-        moved: wire.Moved | None = None
+        moved: wire.CompletedMove | None = None
         loop = asyncio.get_running_loop()
         for is_last in (False, True):
             started_at = loop.time()
--- a/celerytrail/relay/storeclient.py
+++ b/celerytrail/relay/storeclient.py
@@ -38,6 +38,6 @@
         rng=rng,
         metrics=metrics,
         budget=RetryBudget(ratio=0.0, n_reserve=0.0),
-        breaker=Breaker(rng=rng, most_seconds=MAX_PROBE_PAUSE_SECONDS),
+        breaker=Breaker(rng=rng, max_pause_seconds=MAX_PROBE_PAUSE_SECONDS),
     )
     return PlatformRows(exchanger=client)
--- a/celerytrail/services/sender.py
+++ b/celerytrail/services/sender.py
@@ -13,7 +13,7 @@
 from ..http.client import HttpClient, NotSent
 from ..http.messages import JSON_TYPE, Response
 from ..log import task_headers
-from ..platform.backoff import RetryBudget, sane_retry_after
+from ..platform.backoff import RetryBudget, clamp_retry_after
 from ..types import Address, NotRun, Unknown
 from .claims import Outcome
 from .endpoints import EndpointDirectory, EndpointView
@@ -72,7 +72,7 @@
         Another endpoint is tried only if the previous one certainly did not run the
         call or the call is idempotent, and only within the retry budget.
         """
-        self._retry_budget.note_first_try()
+        self._retry_budget.record_first_try()
         tried: set[str] = set()
         last_result: SendResult = Err(
             NotRun(reason="no_endpoint", retry_after=DEFAULT_RETRY_AFTER)
@@ -156,7 +156,7 @@
             return Err(
                 NotRun(
                     reason=refusal.reason,
-                    retry_after=sane_retry_after(refusal.retry_after),
+                    retry_after=clamp_retry_after(refusal.retry_after),
                 )
             )
     content_type = res.headers.get("content-type", JSON_TYPE)
--- a/celerytrail/wiring.py
+++ b/celerytrail/wiring.py
@@ -9,7 +9,7 @@
 from .callers.addresses import AddressesApi
 from .callers.api import CallerLimits, CallersApi
 from .callers.auth import Authenticator
-from .callers.memberaddresses import NodesSource
+from .callers.memberaddresses import GossipMemberSource
 from .callers.service_api import ServiceApi
 from .callers.tickets import TicketSigner
 from .clock import Clock
@@ -371,7 +371,7 @@
 def make_addresses(context: NodeContext, nodes: Nodes) -> AddressesApi:
     """Create the API that gives callers the addresses of nodes."""
     return AddressesApi(
-        source=NodesSource(nodes=nodes),
+        source=GossipMemberSource(nodes=nodes),
         failure_domain=context.cfg.failure_domain,
         region=context.cfg.region,
         clock=context.clock,
--- a/chores/platformdemo.py
+++ b/chores/platformdemo.py
@@ -14,7 +14,7 @@
 
 from celerytrail.http.client import HttpClient
 from celerytrail.http.messages import Response
-from celerytrail.platform.nodefile import SETTINGS_VARIABLE
+from celerytrail.platform.nodesettings import SETTINGS_VARIABLE
 from celerytrail.types import Address
 from standins.rowstore import RowStore
 from standins.worker import EngineWorker, PlainWorker
--- a/tests/callers_rig.py
+++ b/tests/callers_rig.py
@@ -43,7 +43,7 @@
     stall_seconds=0.15,
     max_stall_seconds=1.0,
     head_seconds=0.5,
-    recover_seconds=1.0,
+    unreachable_retry_seconds=1.0,
     backoff_seconds=0.01,
 )
 
--- a/tests/servicefakes.py
+++ b/tests/servicefakes.py
@@ -18,7 +18,7 @@
     ServiceSpec,
     VersionedDocument,
 )
-from celerytrail.http.client import HttpClient, Lost, NotSent
+from celerytrail.http.client import HttpClient, NotSent, RequestLost
 from celerytrail.http.messages import Response
 from celerytrail.leaving import LeavingTracker
 from celerytrail.services.calls import ServiceCalls
@@ -79,16 +79,16 @@
         if entry == "not_run":
             return self._answer(503, {"not_run": True, "retry_after": 0.5})
         if entry == "lost_before":
-            return Err(Lost(reason="cut"))
+            return Err(RequestLost(reason="cut"))
         self.run_attempts.append(kwargs["headers"]["x-attempt-id"])
         if entry == "lost_after":
-            return Err(Lost(reason="cut"))
+            return Err(RequestLost(reason="cut"))
         if entry == "failed":
             return self._answer(503, {"error": "after it ran"})
         if self.run_seconds:
             await asyncio.sleep(min(self.run_seconds, deadline - loop.time()))
             if loop.time() >= deadline:
-                return Err(Lost(reason="timeout"))
+                return Err(RequestLost(reason="timeout"))
         return self._answer(
             200, {"run": len(self.run_attempts), "pad": "x" * self.n_padding_bytes}
         )
--- a/tests/sourcesrig.py
+++ b/tests/sourcesrig.py
@@ -13,7 +13,7 @@
 from celerytrail.http.messages import Response
 from celerytrail.metrics import Metrics
 from celerytrail.nodes.rendezvous import rank
-from celerytrail.platform.nodefile import RelaySettings
+from celerytrail.platform.nodesettings import RelaySettings
 from celerytrail.relay.node import RelayNode
 from celerytrail.relay.sharedrows import READERS_KEY
 from celerytrail.relay.storeclient import make_rows
--- a/tests/test_faults.py
+++ b/tests/test_faults.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from celerytrail.http.client import HttpClient, Lost, NotSent
+from celerytrail.http.client import HttpClient, NotSent, RequestLost
 from celerytrail.http.server import Handler
 from celerytrail.types import Address
 from standins.faults import Faults, FaultyServer
@@ -71,7 +71,7 @@
     async def test_lost_reply_has_its_effect(self, standin):
         handler, ask, put = standin
         await put(name="lose_reply", n=1)
-        assert isinstance((await ask()).err_value, Lost)
+        assert isinstance((await ask()).err_value, RequestLost)
         assert handler.n_effects == 1
         assert (await ask()).ok_value.body == b"whole"
 
@@ -89,7 +89,7 @@
     async def test_freeze_lets_the_effect_happen_late(self, standin):
         handler, ask, put = standin
         await put(name="freeze")
-        assert isinstance((await ask()).err_value, Lost)
+        assert isinstance((await ask()).err_value, RequestLost)
         assert handler.n_effects == 0
         await put()
         await ask()
--- a/tests/test_http.py
+++ b/tests/test_http.py
@@ -7,7 +7,7 @@
 import pytest
 from result import Err
 
-from celerytrail.http.client import HttpClient, Lost, NotSent
+from celerytrail.http.client import HttpClient, NotSent, RequestLost
 from celerytrail.http.messages import Request
 from celerytrail.http.server import Handler, HttpServer, Responder, ServerLimits
 from celerytrail.types import Address
@@ -70,7 +70,7 @@
         """
         client, address, _, _ = echo
         answer = await client.request(address, "GET", "/cut")
-        assert isinstance(answer.err_value, Lost)
+        assert isinstance(answer.err_value, RequestLost)
 
     async def test_late_answer_does_not_reach_the_next_request(self, echo):
         """A request is cancelled before its answer arrives. If its connection were
@@ -92,7 +92,7 @@
         client, address, _, _ = echo
         deadline = asyncio.get_running_loop().time() + 0.5
         answer = await client.request(address, "GET", "/slow", deadline=deadline)
-        assert isinstance(answer.err_value, Lost)
+        assert isinstance(answer.err_value, RequestLost)
 
 
 class TestBadInput:
--- a/tests/test_orders.py
+++ b/tests/test_orders.py
@@ -19,7 +19,7 @@
     ModelSpec,
     VersionedDocument,
 )
-from celerytrail.http.client import HttpClient, Lost, NotSent
+from celerytrail.http.client import HttpClient, NotSent, RequestLost
 from celerytrail.http.messages import Response
 from celerytrail.orders.leases import LEASE_SECONDS, MARGIN_SECONDS, LeaseKeeper
 from celerytrail.orders.order import Order, compare, may_begin_roll
@@ -104,9 +104,9 @@
             await self.gate.wait()
         order = msgspec.json.decode(kwargs["body"], type=Order)
         if fault == "lost_before":
-            return Err(Lost(reason="cut"))
+            return Err(RequestLost(reason="cut"))
         answer = self.carry_out(order, f"e{address.port - 9000}")
-        return Err(Lost(reason="cut")) if fault == "lost_after" else answer
+        return Err(RequestLost(reason="cut")) if fault == "lost_after" else answer
 
     def carry_out(self, order, name):
         if self.does_honour and order.fencing < self.fencing:
--- a/tests/test_platform_recovery.py
+++ b/tests/test_platform_recovery.py
@@ -10,7 +10,7 @@
 from result import Err, Ok
 
 from celerytrail.clock import LoopClock
-from celerytrail.http.client import HttpClient, Lost, NotSent
+from celerytrail.http.client import HttpClient, NotSent, RequestLost
 from celerytrail.http.messages import Response
 from celerytrail.platform.backoff import Breaker, RetryBudget, full_jitter
 from celerytrail.platform.client import PlatformClient
@@ -47,7 +47,7 @@
         self.max_waiting = max(self.max_waiting, self.n_waiting)
         await asyncio.sleep(max(kwargs["deadline"] - now, 0.0))
         self.n_waiting -= 1
-        return Err(Lost(reason="timeout"))
+        return Err(RequestLost(reason="timeout"))
 
 
 async def run_nodes(mode):
@@ -126,7 +126,7 @@
         budget = RetryBudget(ratio=0.1, n_reserve=5.0)
         n_retries = 0
         for _ in range(1000):
-            budget.note_first_try()
+            budget.record_first_try()
             while budget.take():
                 n_retries += 1
         assert 95 <= n_retries <= 106
--- a/tests/test_relay_daemon.py
+++ b/tests/test_relay_daemon.py
@@ -12,7 +12,7 @@
 import msgspec
 
 from celerytrail.log import BoundedOutput
-from celerytrail.platform.nodefile import SETTINGS_VARIABLE
+from celerytrail.platform.nodesettings import SETTINGS_VARIABLE
 from chores.system import free_address
 from tests.test_relay_platform import SETTINGS
 
--- a/tests/test_relay_http.py
+++ b/tests/test_relay_http.py
@@ -147,5 +147,5 @@
         await idle.conn.lost
         res = (await client.request(address, "GET", "/")).unwrap()
         assert res.headers["connection"] == "close"
-        assert client.n_connected == 2
+        assert client.n_connections_made == 2
         await server.close()
--- a/tests/test_relay_platform.py
+++ b/tests/test_relay_platform.py
@@ -9,7 +9,7 @@
 from celerytrail.http.messages import Request
 from celerytrail.model import EndpointState, RouteKind
 from celerytrail.platform import wire
-from celerytrail.platform.nodefile import read_settings
+from celerytrail.platform.nodesettings import read_settings
 from celerytrail.platform.operatorconfig import decode_config
 from celerytrail.platform.registrations import decode_registration
 from celerytrail.types import Address
@@ -186,7 +186,7 @@
 
 
 class TestForwardedHeaders:
-    FACTS = wire.ForwardFacts(
+    FACTS = wire.ForwardMetadata(
         endpoint="i-1", budget_seconds=1.5, organisation="org", priority=0
     )
 
@@ -222,7 +222,7 @@
                 "x-request-priority": "0",
             }
         )
-        facts = wire.ForwardFacts(endpoint="i-1", budget_seconds=1.0)
+        facts = wire.ForwardMetadata(endpoint="i-1", budget_seconds=1.0)
         sent = dict(wire.forward_headers(req, facts))
         assert sent == {"x-time-budget-ms": "1000", "x-target-instance": "i-1"}
 
@@ -247,7 +247,7 @@
 
 class TestCallerFacts:
     def test_reads_sizes_key_and_budget(self):
-        facts = wire.caller_facts(
+        facts = wire.decode_request_metadata(
             request(
                 {
                     "x-attempt-id": "a1",
@@ -267,15 +267,15 @@
 
     @pytest.mark.parametrize("text", ["", "x", "-5", "1e400", "nan"])
     def test_an_unreadable_budget_counts_as_not_stated(self, text):
-        facts = wire.caller_facts(request({"x-time-budget-ms": text}))
+        facts = wire.decode_request_metadata(request({"x-time-budget-ms": text}))
         assert facts.budget_seconds is None
 
 
 class TestAnswers:
     def test_only_a_sealed_answer_without_encoding_is_accepted(self):
-        assert wire.is_own_answer({"x-response-seal": "s"})
-        assert not wire.is_own_answer({})
-        assert not wire.is_own_answer(
+        assert wire.is_sealed_answer({"x-response-seal": "s"})
+        assert not wire.is_sealed_answer({})
+        assert not wire.is_sealed_answer(
             {"x-response-seal": "s", "content-encoding": "gzip"}
         )
 
@@ -290,5 +290,5 @@
         assert report.is_leaving and report.leaves_in_seconds == 0.5
         assert report.n_used_tokens == 3
         assert isinstance(wire.decode_report(b"[]"), Err)
-        assert isinstance(wire.decode_moved(b'{"created":1}'), Err)
-        assert isinstance(wire.decode_moved(b'{"handle":"h","created":1}'), Ok)
+        assert isinstance(wire.decode_completed_move(b'{"created":1}'), Err)
+        assert isinstance(wire.decode_completed_move(b'{"handle":"h","created":1}'), Ok)
--- a/tests/test_relay_suspended.py
+++ b/tests/test_relay_suspended.py
@@ -11,7 +11,7 @@
 from celerytrail.clock import LoopClock
 from celerytrail.http.client import HttpClient
 from celerytrail.http.messages import Response
-from celerytrail.platform.nodefile import RelaySettings
+from celerytrail.platform.nodesettings import RelaySettings
 from celerytrail.relay.node import RelayNode
 from celerytrail.types import Address
 from scenarios.memorynetwork import Wires
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -293,7 +293,7 @@
         names = list(intact)
         console.objects.objects = {names[0]: b"damaged"}
 
-        async def find_spare(digest):
+        async def fetch_from_node(digest):
             return intact[object_name(digest)]
 
         store = DocumentStore(
@@ -301,7 +301,7 @@
             objects=console.objects,
             clock=LoopClock(),
             rng=random.Random(1),
-            find_spare=find_spare,
+            fetch_from_node=fetch_from_node,
         )
         loaded = (await store.load(console.deadline())).ok_value
         assert loaded.document == document("a")
--- a/tests/test_streams.py
+++ b/tests/test_streams.py
@@ -17,7 +17,7 @@
     BadReply,
     EngineOrder,
     Finished,
-    GenerateOrder,
+    GenerateRequest,
     NewerReader,
     OrderExpired,
     StaleFencing,
@@ -41,7 +41,7 @@
         self.counters = StreamCounters()
 
     async def start(self, prompt, generation_id="g1", n_max_tokens=10_000):
-        req = GenerateOrder(
+        req = GenerateRequest(
             generation_id=generation_id,
             model="draft",
             prompt=prompt,
@@ -226,7 +226,7 @@
         tokens of that answer may belong to any generation.
         """
         rig.engine.fault("crossed")
-        req = GenerateOrder(
+        req = GenerateRequest(
             generation_id="g1", model="draft", prompt="k", n_max_tokens=5
         )
         opened = await rig.client.generate(
@@ -314,7 +314,7 @@
         """The node stops reading and its caller's deadline passes. The engine, which
         was sent the deadline, cancels the generation itself.
         """
-        req = GenerateOrder(
+        req = GenerateRequest(
             generation_id="g1",
             model="draft",
             prompt="n [length=9000]",
@@ -336,7 +336,7 @@
             await rig.client.load(rig.engine.address, deadline=deadline_in())
         ).ok_value
         assert report.leaving_at is not None
-        req = GenerateOrder(
+        req = GenerateRequest(
             generation_id="g1", model="draft", prompt="m", n_max_tokens=5
         )
         opened = await rig.client.generate(
