--- a/celerytrail/relay/daemon.py
+++ b/celerytrail/relay/daemon.py
@@ -30,7 +30,7 @@
         data = Path(path).read_bytes()
     except OSError as exc:
         return [Finding(place=path, problem=str(exc))]
-    read = nodefile.read_settings(data)
+    read = nodesettings.read_settings(data)
     if isinstance(read, Err):
         return read.err_value
     cfg = read.ok_value
