--- a/bench/relayprocess.py
+++ b/bench/relayprocess.py
@@ -70,7 +70,7 @@
         admitter=LocalAdmitter(configuration=configuration),
         engines=EngineClient(http=HttpClient(process=name), clock=clock),
         retries=BudgetedRetry(rng=rng),
-        tickets=TicketSigner(keys={"k1": TICKET_KEY}, current="k1", clock=clock),
+        tickets=TicketSigner(keys={"k1": TICKET_KEY}, current_key_id="k1", clock=clock),
         metrics=Metrics(process=name),
         clock=clock,
         rng=rng,
--- a/celerytrail/callers/addresses.py
+++ b/celerytrail/callers/addresses.py
@@ -76,14 +76,14 @@
         region: str = "",
         clock: Clock,
         rng: random.Random,
-        address_seconds: float = ADDRESS_TTL_SECONDS,
+        address_ttl_seconds: float = ADDRESS_TTL_SECONDS,
     ) -> None:
         self._source = source
         self._failure_domain = failure_domain
         self._region = region
         self._clock = clock
         self._rng = rng
-        self._address_seconds = address_seconds
+        self._address_ttl_seconds = address_ttl_seconds
 
     def add_routes(self, router: Router) -> None:
         """Register the route."""
@@ -114,7 +114,7 @@
         failure_domain = parse_qs(req.query).get(
             "failure_domain", [self._failure_domain]
         )[0]
-        expires_at = round(self._clock.wall() + self._address_seconds, 3)
+        expires_at = round(self._clock.wall() + self._address_ttl_seconds, 3)
         addresses = [
             {
                 "address": member.address,
--- a/celerytrail/callers/tickets.py
+++ b/celerytrail/callers/tickets.py
@@ -107,16 +107,16 @@
     """
 
     def __init__(
-        self, *, keys: Mapping[str, bytes], current: str, clock: Clock
+        self, *, keys: Mapping[str, bytes], current_key_id: str, clock: Clock
     ) -> None:
         self._keys = dict(keys)
-        self._current = current
+        self._current_key_id = current_key_id
         self._clock = clock
 
     def issue(self, ticket: Ticket) -> str:
         """Sign a ticket and return its text."""
         payload = _Payload(
-            key_id=self._current,
+            key_id=self._current_key_id,
             organisation=ticket.organisation,
             engine=ticket.engine,
             incarnation=ticket.incarnation,
@@ -127,7 +127,7 @@
             expires_at=int(ticket.expires_at),
         )
         body = msgspec.msgpack.encode(payload)
-        signature = _sign(self._keys[self._current], body)
+        signature = _sign(self._keys[self._current_key_id], body)
         return base64.urlsafe_b64encode(signature + body).decode().rstrip("=")
 
     def read(self, text: str) -> Result[Ticket, TicketError]:
--- a/celerytrail/configuration/sync.py
+++ b/celerytrail/configuration/sync.py
@@ -338,7 +338,7 @@
         """Fetch the objects that differ from the current tree and check the result."""
         loader = TreeLoader(
             get=lambda digest: self._fetcher.get(digest, target.holders),
-            held=(self._tree,),
+            cached_trees=(self._tree,),
         )
         loaded = await loader.load(target.root)
         if isinstance(loaded, Err):
--- a/celerytrail/configuration/treeloader.py
+++ b/celerytrail/configuration/treeloader.py
@@ -36,9 +36,9 @@
         Trees that are already in memory.
     """
 
-    def __init__(self, *, get: GetObject[E], held: Sequence[Tree] = ()) -> None:
+    def __init__(self, *, get: GetObject[E], cached_trees: Sequence[Tree] = ()) -> None:
         self._fetch_object = get
-        self._cached_trees = held
+        self._cached_trees = cached_trees
 
     async def load(self, root: str) -> Result[Tree, E | InvalidObject]:
         """Load the tree with this root."""
--- a/celerytrail/operators/store.py
+++ b/celerytrail/operators/store.py
@@ -327,7 +327,7 @@
             return Ok(cached)
         loader = TreeLoader(
             get=lambda digest: self._get_object(digest, deadline),
-            held=tuple(self._trees.values()),
+            cached_trees=tuple(self._trees.values()),
         )
         loaded = await loader.load(root_digest)
         if isinstance(loaded, Err):
--- a/celerytrail/relay/enginewatch.py
+++ b/celerytrail/relay/enginewatch.py
@@ -59,7 +59,7 @@
         registry: Registry,
         peer_updates: PeerUpdates,
         nodes: Nodes,
-        is_unsure: Callable[[], bool],
+        is_store_stale: Callable[[], bool],
         is_engine_service: Callable[[str], bool],
         on_leaving: Callable[[Registration], None],
     ) -> None:
@@ -67,7 +67,7 @@
         self._registry = registry
         self._sharing = peer_updates
         self._nodes = nodes
-        self._is_store_stale = is_unsure
+        self._is_store_stale = is_store_stale
         self._is_engine_service = is_engine_service
         self._on_leaving = on_leaving
         self._pending: set[str] = set()
--- a/celerytrail/relay/generations.py
+++ b/celerytrail/relay/generations.py
@@ -55,14 +55,14 @@
         *,
         placer: EnginePlacer,
         opener: EngineOpener,
-        departures: RunMover,
+        run_mover: RunMover,
         peer_updates: PeerUpdates,
         budget: SharedRetryBudget,
         rng: random.Random,
     ) -> None:
         self._placer = placer
         self._opener = opener
-        self._run_mover = departures
+        self._run_mover = run_mover
         self._sharing = peer_updates
         self._budget = budget
         self._rng = rng
--- a/celerytrail/relay/node.py
+++ b/celerytrail/relay/node.py
@@ -328,7 +328,7 @@
             rates=PrefillRates(),
         )
         opener = EngineOpener(client=self.endpoints)
-        departures = RunMover(
+        run_mover = RunMover(
             api=self._engine_api,
             registry=self.registry,
             loads=self.loads,
@@ -338,7 +338,7 @@
         self.generations = Generations(
             placer=placer,
             opener=opener,
-            departures=departures,
+            run_mover=run_mover,
             peer_updates=self.peer_updates,
             budget=budget,
             rng=self._rng,
@@ -360,7 +360,7 @@
             registry=self.registry,
             peer_updates=self.peer_updates,
             nodes=self.nodes,
-            is_unsure=self._has_stale_registrations,
+            is_store_stale=self._has_stale_registrations,
             is_engine_service=lambda service: self._engine_of(service) is not None,
             on_leaving=self._on_engine_leaving,
         )
--- a/celerytrail/wiring.py
+++ b/celerytrail/wiring.py
@@ -294,7 +294,7 @@
     cfg = context.cfg
     tickets = TicketSigner(
         keys={key.key_id: key.secret for key in cfg.ticket_keys},
-        current=cfg.ticket_keys[0].key_id,
+        current_key_id=cfg.ticket_keys[0].key_id,
         clock=context.clock,
     )
     return CallersApi(
@@ -376,7 +376,7 @@
         region=context.cfg.region,
         clock=context.clock,
         rng=context.rng,
-        address_seconds=context.cfg.answer_seconds,
+        address_ttl_seconds=context.cfg.answer_seconds,
     )
 
 
--- a/tests/callers_rig.py
+++ b/tests/callers_rig.py
@@ -240,7 +240,7 @@
                 http=HttpClient(process=f"n{number}"), clock=self.clock
             ),
             retries=BudgetedRetry(rng=random.Random(number)),
-            tickets=TicketSigner(keys=self.keys, current="k1", clock=self.clock),
+            tickets=TicketSigner(keys=self.keys, current_key_id="k1", clock=self.clock),
             metrics=Metrics(process=f"n{number}"),
             clock=self.clock,
             rng=random.Random(number),
--- a/tests/test_tickets.py
+++ b/tests/test_tickets.py
@@ -26,7 +26,7 @@
 
 def signer(clock=None, current="new", **keys):
     keys = keys or {"new": b"n" * 32}
-    return TicketSigner(keys=keys, current=current, clock=clock or ManualClock())
+    return TicketSigner(keys=keys, current_key_id=current, clock=clock or ManualClock())
 
 
 class TestTickets:
