--- a/tests/servicefakes.py
+++ b/tests/servicefakes.py
@@ -163,7 +163,7 @@
         return await self.calls.status("office", "bookings", key, deadline)
 
 
-class World:
+class Cluster:
     """Two nodes that share a table and endpoints."""
 
     def __init__(self, *, seed=1):
@@ -177,7 +177,7 @@
         return self.http.run_attempts
 
 
-def word(result):
+def outcome_name(result):
     """Return the name of the outcome that the caller received."""
     if isinstance(result, Ok):
         assert isinstance(result.ok_value, Answered)
--- a/tests/test_leaving.py
+++ b/tests/test_leaving.py
@@ -12,7 +12,7 @@
 from celerytrail.leaving import LeavingTracker
 from celerytrail.policies.loadreports import EndpointReport
 from celerytrail.services.endpoints import EndpointView, choose
-from tests.servicefakes import BOOKINGS, World, word
+from tests.servicefakes import BOOKINGS, Cluster, outcome_name
 
 
 class TestLeavingBoard:
@@ -109,8 +109,8 @@
         gets no calls; when the only other endpoint leaves too, calls are refused as
         not run.
         """
-        world = World()
-        node = world.a
+        cluster = Cluster()
+        node = cluster.a
         leaving = EndpointReport(endpoint="e1", incarnation="i", leaving_at=1e12)
         views = {v.spec.name: v for v in node.directory.views("bookings")}
         node.directory.on_load_report(views["e1"], msgspec.json.encode(leaving))
@@ -120,30 +120,33 @@
         other_leaving = replace(leaving, endpoint="e2")
         node.directory.on_load_report(views["e2"], msgspec.json.encode(other_leaving))
         result = await node.file()
-        assert (word(result), result.err_value.reason) == ("not_run", "no_endpoint")
+        assert (outcome_name(result), result.err_value.reason) == (
+            "not_run",
+            "no_endpoint",
+        )
         returned = replace(leaving, leaving_at=None)
         node.directory.on_load_report(views["e1"], msgspec.json.encode(returned))
-        assert word(await node.file()) == "answered"
+        assert outcome_name(await node.file()) == "answered"
 
     async def test_leaving_by_document_role(self):
-        world = World()
+        cluster = Cluster()
         endpoints = tuple(replace(e, role="drain") for e in BOOKINGS.endpoints)
         drained = Document(services=(replace(BOOKINGS, endpoints=endpoints),))
-        world.a.configuration.offer(VersionedDocument(version=2, document=drained))
-        assert word(await world.a.file()) == "not_run"
+        cluster.a.configuration.offer(VersionedDocument(version=2, document=drained))
+        assert outcome_name(await cluster.a.file()) == "not_run"
         served = Document(services=(BOOKINGS,))
-        world.a.configuration.offer(VersionedDocument(version=3, document=served))
-        assert word(await world.a.file()) == "answered"
+        cluster.a.configuration.offer(VersionedDocument(version=3, document=served))
+        assert outcome_name(await cluster.a.file()) == "answered"
 
     async def test_bad_report_is_ignored(self):
         """An endpoint's report can't be decoded or names another endpoint. The former
         state stays in force, and calls continue.
         """
-        world = World()
-        directory = world.a.directory
+        cluster = Cluster()
+        directory = cluster.a.directory
         target = directory.views("bookings")[0]
         other = EndpointReport(endpoint="zz", incarnation="i", leaving_at=1.0)
         for body in (b"{", b'{"endpoint": 5}', msgspec.json.encode(other)):
             directory.on_load_report(target, body)
         assert target.report is None
-        assert word(await world.a.file()) == "answered"
+        assert outcome_name(await cluster.a.file()) == "answered"
