--- a/chores/__init__.py
+++ b/chores/__init__.py
@@ -1,1 +1,1 @@
-"""Chores a developer runs through make."""
+"""Development tasks that ``make`` starts: the demo and a local system."""
--- a/chores/caller.py
+++ b/chores/caller.py
@@ -1,4 +1,4 @@
-"""A caller written from ``docs/callers.md`` alone; the demo and scenarios use it."""
+"""A caller that relies on ``docs/callers.md`` alone, for the demo and scenarios."""
 
 from __future__ import annotations
 
@@ -19,16 +19,16 @@
 
 
 class CallerError(CelerytrailError):
-    """The system's answer was not the one that the caller needed.
+    """A request failed, or its answer is not what the caller expects.
 
     Parameters
     ----------
     message : str
-        For a person.
+        Description of the failure for people.
     status : int
-        The answer's status; 0 where there was none.
+        Status of the answer; 0 without one.
     error : Mapping
-        The answer's error object; empty where there was none.
+        Error object of the answer; empty without one.
     """
 
     def __init__(
@@ -45,7 +45,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class SseEvent:
-    """One server-sent event."""
+    """Fields of a server-sent event."""
 
     id: str = ""
     name: str = "message"
@@ -54,62 +54,68 @@
 
 @dataclass(kw_only=True, slots=True)
 class Draft:
-    """A generation as its caller has received it so far."""
+    """What a caller has received of a generation."""
 
     tokens: list[str] = field(default_factory=list)
     last_event_id: str = ""
-    answer_id: str = ""
+    completion_id: str = ""
     is_whole: bool = False
     error: Mapping[str, object] | None = None
     nodes: list[str] = field(default_factory=list)
 
     @property
     def generation_id(self) -> str:
-        """Return the one generation that its tokens came from."""
-        return self.answer_id.partition("-")[2]
+        """Return the id of the generation that the tokens come from."""
+        return self.completion_id.partition("-")[2]
 
     @property
     def text(self) -> str:
-        """Return all tokens as one text."""
+        """Return the received tokens as one string."""
         return "".join(self.tokens)
 
 
 class Caller:
-    """One organisation's client.
+    """A client of the system with one organisation's API key.
 
     Parameters
     ----------
     key : str
-        Its API key.
+        API key of the organisation.
     known : tuple of Address
-        Addresses to begin with; the system is then asked for more.
+        Bootstrap addresses, which are queried for the current ones.
     network : Network or None
-        What carries its connections; the machine's own by default.
+        Network for the connections; that of the machine by default.
     """
 
     def __init__(
         self, *, key: str, known: tuple[Address, ...], network: Network | None = None
     ) -> None:
         self._headers = {"authorization": f"Bearer {key}"}
-        self._known = known
+        self._bootstrap_addresses = known
         self._client = HttpClient(process="caller", network=network)
 
     async def addresses(self) -> tuple[Address, ...]:
-        """Ask any known address which ones to use now."""
-        for address in self._known:
-            asked = await self._client.request(
+        """Return the current addresses, from the first known address that answers.
+
+        Raises
+        ------
+        CallerError
+            When no known address answers with status 200.
+        """
+        for address in self._bootstrap_addresses:
+            result = await self._client.request(
                 address, "GET", "/v1/addresses", deadline=_deadline(2)
             )
-            if isinstance(asked, Err) or asked.ok_value.status != 200:
+            if isinstance(result, Err) or result.ok_value.status != 200:
                 continue
-            answer = msgspec.json.decode(asked.ok_value.body)
-            return tuple(Address.parse(one["address"]) for one in answer["addresses"])
-        raise CallerError("no known address answers")
+            answer = msgspec.json.decode(result.ok_value.body)
+            return tuple(Address.parse(item["address"]) for item in answer["addresses"])
+        raise CallerError("no known address returned the current addresses")
 
     async def start(
         self, address: Address, model: str, prompt: str, n_max_tokens: int
     ) -> Stream:
-        """Ask for a streamed completion."""
+        """Request a streamed completion; return its stream."""
         body = {
             "model": model,
             "prompt": prompt,
@@ -117,7 +123,7 @@
             "stream": True,
         }
         headers = {**self._headers, "content-type": "application/json"}
-        opened = await self._client.open(
+        result = await self._client.open(
             address,
             "POST",
             "/v1/completions",
@@ -125,23 +131,29 @@
             headers=headers,
             deadline=_deadline(60),
         )
-        return await _good_stream(opened)
+        return await _accepted_stream(result)
 
     async def resume(self, address: Address, draft: Draft) -> Stream:
-        """Take up a draft again at any address, behind its last event."""
+        """Resume a draft at any address, after its last received event."""
         ticket = draft.last_event_id.rpartition(".")[0]
-        opened = await self._client.open(
+        result = await self._client.open(
             address,
             "GET",
             f"/v1/generations/{ticket}",
             headers={**self._headers, "last-event-id": draft.last_event_id},
             deadline=_deadline(60),
         )
-        return await _good_stream(opened)
+        return await _accepted_stream(result)
 
     async def follow(self, stream: Stream, draft: Draft) -> AsyncIterator[str]:
-        """Read a stream into a draft, yielding each token."""
-        async for event in events(stream):
+        """Read a stream into a draft and yield each token.
+
+        Raises
+        ------
+        CallerError
+            When an event belongs to another generation than the draft.
+        """
+        async for event in read_events(stream):
             if event.data == DONE:
                 draft.is_whole = True
                 return
@@ -151,16 +163,16 @@
                 return
             if event.id:
                 draft.last_event_id = event.id
-            if draft.answer_id not in ("", value["id"]):
-                raise CallerError("the answer goes on from another generation")
-            draft.answer_id = value["id"]
+            if draft.completion_id not in ("", value["id"]):
+                raise CallerError("the stream continues with another generation")
+            draft.completion_id = value["id"]
             token = value["choices"][0].get("text") or ""
             if token:
                 draft.tokens.append(token)
                 yield token
 
     async def cancel(self, address: Address, draft: Draft) -> int:
-        """Cancel a draft; returns the answer's status."""
+        """Cancel a draft; return the status of the answer."""
         ticket = draft.last_event_id.rpartition(".")[0]
         answer = await self._client.request(
             address,
@@ -176,7 +188,7 @@
     async def call(
         self, address: Address, service: str, operation: str, key: str, value: object
     ) -> Response:
-        """Call a plain service under an idempotency key."""
+        """Call a plain service with an idempotency key."""
         answer = await self._client.request_json(
             address,
             "POST",
@@ -190,7 +202,7 @@
         return answer.ok_value
 
     async def status(self, address: Address, service: str, key: str) -> Response:
-        """Ask what became of a keyed call."""
+        """Request the status of a call by its idempotency key."""
         answer = await self._client.request(
             address,
             "GET",
@@ -207,8 +219,8 @@
         self._client.close()
 
 
-async def events(stream: Stream) -> AsyncIterator[SseEvent]:
-    """Split a stream into server-sent events; ends early where it was cut."""
+async def read_events(stream: Stream) -> AsyncIterator[SseEvent]:
+    """Yield the server-sent events of a stream until it ends or fails."""
     buffer = b""
     while True:
         chunk = await stream.next_chunk()
@@ -217,12 +229,12 @@
         buffer += chunk.ok_value
         *blocks, buffer = buffer.split(b"\n\n")
         for block in blocks:
-            event = _event(block.decode())
+            event = _parse_event(block.decode())
             if event.data:
                 yield event
 
 
-def _event(block: str) -> SseEvent:
+def _parse_event(block: str) -> SseEvent:
     fields = {"id": "", "event": "message", "data": ""}
     for line in block.split("\n"):
         name, _, value = line.partition(":")
@@ -231,13 +243,13 @@
     return SseEvent(id=fields["id"], name=fields["event"], data=fields["data"])
 
 
-async def _good_stream(opened: object) -> Stream:
-    if isinstance(opened, Err):
-        raise CallerError(str(opened.err_value))
-    stream: Stream = opened.ok_value  # type: ignore[attr-defined]
+async def _accepted_stream(result: object) -> Stream:
+    if isinstance(result, Err):
+        raise CallerError(str(result.err_value))
+    stream: Stream = result.ok_value  # type: ignore[attr-defined]
     if stream.status != 200:
-        read = await stream.read(_deadline(5))
-        body = read.ok_value if isinstance(read, Ok) else b"{}"
+        body_result = await stream.read(_deadline(5))
+        body = body_result.ok_value if isinstance(body_result, Ok) else b"{}"
         error = msgspec.json.decode(body).get("error", {})
         raise CallerError(
             f"status {stream.status}: {error}", status=stream.status, error=error
--- a/chores/demo.py
+++ b/chores/demo.py
@@ -1,4 +1,4 @@
-"""The demo: a whole system on this machine, through failures, checked at each step."""
+"""The demo: a whole system on this machine, with failures and a check at each step."""
 
 from __future__ import annotations
 
@@ -26,17 +26,17 @@
 EXAMPLES = Path(__file__).resolve().parent.parent / "examples" / "bookings"
 ORGANISATION = "lone-star"
 OPERATOR = "ana"
-READY_SECONDS = 15.0
-N_MAX_TOKENS = 400
+NODE_TIMEOUT_SECONDS = 15.0
+MAX_TOKENS = 400
 TOKENS_PER_SECOND = 150.0
 
 
 class DemoError(Exception):
-    """Something that the demo shows did not hold."""
+    """Raised when a step of the demo does not give the expected result."""
 
 
 class Demo:
-    """Runs the demo's steps against one system.
+    """The demo's steps against a running system.
 
     Parameters
     ----------
@@ -50,14 +50,17 @@
         self._figures: list[str] = []
 
     async def run(self) -> list[str]:
-        """Run every step; returns the figures that were measured."""
+        """Run all steps; return a line of measured figures for each."""
         steps: list[tuple[str, Callable[[], Awaitable[str]]]] = [
             ("an operator enters the document", self._enter_document),
-            ("drafts of unknown length, all at once", self._drafts),
-            ("a node is killed in the middle of a draft", self._kill),
-            ("a signature is filed twice under one key", self._file),
-            ("a node stops gracefully during a draft", self._stop),
-            ("the time line of that draft", self._timeline),
+            ("concurrent drafts of unknown length", self._run_concurrent_drafts),
+            ("a node is killed during a draft", self._kill_node),
+            (
+                "a signature is filed several times with one idempotency key",
+                self._file_repeatedly,
+            ),
+            ("a node stops gracefully during a draft", self._stop_node),
+            ("the timeline of that draft", self._show_timeline),
         ]
         for title, step in steps:
             print(f"\n== {title}", flush=True)
@@ -79,11 +82,11 @@
         for node in self._system.nodes():
             await _wait_ready(node)
         seconds = time.monotonic() - accepted_at
-        known = tuple(node.address for node in self._system.nodes())
-        self._caller = Caller(key=keys[ORGANISATION], known=known)
+        addresses = tuple(node.address for node in self._system.nodes())
+        self._caller = Caller(key=keys[ORGANISATION], known=addresses)
         return f"version {version} in force at all nodes {seconds:.2f} s later"
 
-    async def _drafts(self) -> str:
+    async def _run_concurrent_drafts(self) -> str:
         addresses = await self._caller.addresses()
         bookings = sorted(EXAMPLES.glob("*.json"))
         prompts = [
@@ -94,41 +97,42 @@
         drafts = [Draft() for _ in prompts]
         await asyncio.gather(
             *(
-                self._whole(addresses[n % len(addresses)], prompt, drafts[n])
+                self._run_draft(addresses[n % len(addresses)], prompt, drafts[n])
                 for n, prompt in enumerate(prompts)
             )
         )
         for prompt, draft in zip(prompts, drafts, strict=True):
-            _check(draft, prompt)
+            _check_draft(draft, prompt)
         lengths = sorted(len(draft.tokens) for draft in drafts)
-        return f"{len(drafts)} drafts whole, of {lengths} tokens"
+        return f"{len(drafts)} drafts complete, of {lengths} tokens"
 
-    async def _kill(self) -> str:
-        victim = self._system.nodes()[0]
+    async def _kill_node(self) -> str:
+        killed_node = self._system.nodes()[0]
         prompt = "A long draft [length=600]"
         draft = Draft()
-        stream = await self._caller.start(victim.address, MODEL, prompt, 1_000)
+        stream = await self._caller.start(killed_node.address, MODEL, prompt, 1_000)
         async for _ in self._caller.follow(stream, draft):
             if len(draft.tokens) == 60:
-                victim.process.kill()
+                killed_node.process.kill()
                 break
         stream.close()
-        n_before = len(draft.tokens)
-        cut_at = time.monotonic()
-        other = await self._another_address(victim)
+        n_tokens_before = len(draft.tokens)
+        killed_at = time.monotonic()
+        other = await self._other_address(killed_node)
         resumed = await self._caller.resume(other, draft)
         seconds = None
         async for _ in self._caller.follow(resumed, draft):
-            seconds = seconds or time.monotonic() - cut_at
-        _check(draft, prompt)
+            seconds = seconds or time.monotonic() - killed_at
+        _check_draft(draft, prompt)
         if len(draft.tokens) != 600:
-            raise DemoError(f"{len(draft.tokens)} tokens came of 600")
+            raise DemoError(f"received {len(draft.tokens)} of 600 tokens")
         return (
-            f"pid {victim.pid} killed after {n_before} tokens; resumed elsewhere, "
-            f"600 tokens, none lost or doubled; first one {seconds or 0:.3f} s later"
+            f"pid {killed_node.pid} killed after {n_tokens_before} tokens; resumed at "
+            f"another node, 600 tokens, none lost or duplicated; first after "
+            f"{seconds or 0:.3f} s"
         )
 
-    async def _file(self) -> str:
+    async def _file_repeatedly(self) -> str:
         signature = msgspec.json.decode(
             (EXAMPLES.parent / "signature.json").read_bytes()
         )
@@ -141,55 +145,60 @@
                 for address in addresses[:2]
             )
         )
-        again = await self._caller.call(
+        repeated = await self._caller.call(
             addresses[0], SERVICE, "file", "signature-hall-gig", signature
         )
-        if again.status != 200:
-            raise DemoError(f"the filing was answered {again.status}: {again.body!r}")
-        asked = await self._caller.status(addresses[1], SERVICE, "signature-hall-gig")
+        if repeated.status != 200:
+            raise DemoError(
+                f"the repeated filing returned {repeated.status}: {repeated.body!r}"
+            )
+        status = await self._caller.status(addresses[1], SERVICE, "signature-hall-gig")
         n_runs = await self._count_runs(signature)
         if n_runs != 1:
             raise DemoError(f"the filing ran {n_runs} times")
-        statuses = [answer.status for answer in (*answers, again)]
-        return f"answered {statuses}, status {asked.status}, ran {n_runs} time"
+        statuses = [answer.status for answer in (*answers, repeated)]
+        return f"answered {statuses}, status {status.status}, ran {n_runs} time"
 
-    async def _stop(self) -> str:
-        leaver = self._system.nodes()[0]
+    async def _stop_node(self) -> str:
+        leaving_node = self._system.nodes()[0]
         prompt = "A draft during a stop [length=500]"
         draft = Draft()
-        stream = await self._caller.start(leaver.address, MODEL, prompt, 1_000)
+        stream = await self._caller.start(leaving_node.address, MODEL, prompt, 1_000)
         async for _ in self._caller.follow(stream, draft):
             if len(draft.tokens) == 20:
-                leaver.signal(signal.SIGTERM)
-        _check(draft, prompt)
+                leaving_node.signal(signal.SIGTERM)
+        _check_draft(draft, prompt)
         if not draft.is_whole:
-            raise DemoError(f"the draft was cut at {len(draft.tokens)} tokens")
-        code = await asyncio.to_thread(leaver.process.wait, READY_SECONDS)
+            raise DemoError(f"the draft ended after {len(draft.tokens)} tokens")
+        code = await asyncio.to_thread(leaving_node.process.wait, NODE_TIMEOUT_SECONDS)
         if code != 0:
-            raise DemoError(f"the leaving node exited with {code}")
-        self._last_request = draft.generation_id
-        return f"draft whole with {len(draft.tokens)} tokens, then {leaver.name} exited"
-
-    async def _timeline(self) -> str:
-        whole = timeline.read_files(self._system.logs())
-        one = whole.of_request(self._last_request)
-        for line in timeline.as_text(one):
+            raise DemoError(f"the leaving node exited with status {code}")
+        self._timeline_generation_id = draft.generation_id
+        return (
+            f"draft complete, {len(draft.tokens)} tokens; "
+            f"{leaving_node.name} exited after it"
+        )
+
+    async def _show_timeline(self) -> str:
+        full_timeline = timeline.read_files(self._system.logs())
+        draft_timeline = full_timeline.of_request(self._timeline_generation_id)
+        for line in timeline.as_text(draft_timeline):
             print(f"   {line[:150]}")
-        processes = {event.process for event in one.events}
-        if len(one.events) < 3:
-            raise DemoError("the time line does not show the draft")
-        return f"{len(one.events)} events of {len(processes)} processes"
+        processes = {event.process for event in draft_timeline.events}
+        if len(draft_timeline.events) < 3:
+            raise DemoError("the timeline has fewer than 3 events of the draft")
+        return f"{len(draft_timeline.events)} events of {len(processes)} processes"
 
-    async def _whole(self, address: Address, prompt: str, draft: Draft) -> None:
-        stream = await self._caller.start(address, MODEL, prompt, N_MAX_TOKENS)
+    async def _run_draft(self, address: Address, prompt: str, draft: Draft) -> None:
+        stream = await self._caller.start(address, MODEL, prompt, MAX_TOKENS)
         async for _ in self._caller.follow(stream, draft):
             pass
 
-    async def _another_address(self, dead: Child) -> Address:
+    async def _other_address(self, excluded: Child) -> Address:
         for address in await self._caller.addresses():
-            if address != dead.address:
+            if address != excluded.address:
                 return address
-        raise DemoError("no other address is answered")
+        raise DemoError("the nodes returned no other address")
 
     async def _count_runs(self, signature: object) -> int:
         client = HttpClient()
@@ -203,10 +212,10 @@
         return n_runs
 
 
-def _check(draft: Draft, prompt: str) -> None:
-    """Compare a draft, token by token, with what its one generation made."""
+def _check_draft(draft: Draft, prompt: str) -> None:
+    """Check that a draft is complete and each token comes from its generation."""
     if not draft.is_whole:
-        raise DemoError(f"a draft ended early: {draft.error}")
+        raise DemoError(f"a draft is incomplete: {draft.error}")
     for offset, token in enumerate(draft.tokens):
         if token != token_text(prompt, draft.generation_id, offset):
             raise DemoError(f"token {offset} is wrong: {token!r}")
@@ -214,14 +223,14 @@
 
 async def _wait_ready(node: Child) -> None:
     client = HttpClient()
-    deadline = time.monotonic() + READY_SECONDS
+    deadline = time.monotonic() + NODE_TIMEOUT_SECONDS
     while time.monotonic() < deadline:
         answer = await client.request(node.address, "GET", "/readyz")
         if answer.is_ok() and answer.unwrap().status == 200:
             client.close()
             return
         await asyncio.sleep(0.05)
-    raise DemoError(f"{node.name} does not get ready")
+    raise DemoError(f"{node.name} did not become ready")
 
 
 async def _main() -> int:
@@ -232,12 +241,12 @@
         try:
             await system.start()
             n_processes = len(system.children)
-            print(f"{n_processes} processes run", flush=True)
+            print(f"{n_processes} processes started", flush=True)
             figures = await Demo(system=system).run()
         finally:
             killed = system.stop()
         if killed:
-            print(f"demo: failed, had to be killed: {killed}")
+            print(f"demo: failed, processes killed after a timeout: {killed}")
             return 1
         print(await PlatformDemo(folder=Path(folder)).run(), flush=True)
     print(f"\nin {time.monotonic() - started_at:.1f} s: " + "; ".join(figures))
--- a/chores/documents.py
+++ b/chores/documents.py
@@ -1,4 +1,4 @@
-"""The first document of a system that a chore has started."""
+"""The first document of a system of :mod:`chores.system`."""
 
 from __future__ import annotations
 
@@ -22,9 +22,24 @@
 def first_document(
     children: Mapping[str, Child], *organisations: str
 ) -> tuple[Document, dict[str, str]]:
-    """Return a document that names what runs, and each organisation's new key."""
-    engines = [c for name, c in children.items() if name.startswith("engine-")]
-    endpoints = [c for name, c in children.items() if name.startswith(f"{SERVICE}-")]
+    """Return a document of the running processes, and a new key per organisation.
+
+    Parameters
+    ----------
+    children : mapping of str to Child
+        The started processes by name.
+    *organisations : str
+        Names of the organisations that get an API key.
+
+    Returns
+    -------
+    tuple of Document and dict
+        The document and the API key of each organisation by name.
+    """
+    engines = [child for name, child in children.items() if name.startswith("engine-")]
+    endpoints = [
+        child for name, child in children.items() if name.startswith(f"{SERVICE}-")
+    ]
     keys = {name: secrets.token_urlsafe(24) for name in organisations}
     document = Document(
         models=(ModelSpec(name=MODEL, version="1"),),
@@ -38,12 +53,12 @@
             EngineSpec(
                 name=child.name,
                 address=str(child.address),
-                failure_domain=FAILURE_DOMAINS[n % len(FAILURE_DOMAINS)],
+                failure_domain=FAILURE_DOMAINS[index % len(FAILURE_DOMAINS)],
                 region="default",
                 vm=child.name,
                 model=MODEL,
             )
-            for n, child in enumerate(engines)
+            for index, child in enumerate(engines)
         ),
         services=(
             ServiceSpec(
@@ -56,11 +71,11 @@
                     EndpointSpec(
                         name=child.name,
                         address=str(child.address),
-                        failure_domain=FAILURE_DOMAINS[n % len(FAILURE_DOMAINS)],
+                        failure_domain=FAILURE_DOMAINS[index % len(FAILURE_DOMAINS)],
                         region="default",
                         vm=child.name,
                     )
-                    for n, child in enumerate(endpoints)
+                    for index, child in enumerate(endpoints)
                 ),
             ),
         ),
--- a/chores/operator.py
+++ b/chores/operator.py
@@ -1,4 +1,4 @@
-"""An operator at the console, through its forms as a browser would send them."""
+"""A client of the console that submits its forms as a browser does."""
 
 from __future__ import annotations
 
@@ -16,39 +16,39 @@
 from celerytrail.types import Address
 
 FORM_TYPE = "application/x-www-form-urlencoded"
-ANSWER_SECONDS = 20.0
+ANSWER_TIMEOUT_SECONDS = 20.0
 
 
 class OperatorError(CelerytrailError):
-    """The console did not take what was entered."""
+    """The console does not answer, or refuses what was submitted."""
 
 
 class _HiddenFields(HTMLParser):
-    """Collects the hidden fields of each form that has a certain button."""
+    """Collects the hidden fields of the first form with a given button."""
 
     def __init__(self, *, button: str) -> None:
         super().__init__()
         self._button = button
-        self._form: dict[str, str] = {}
+        self._form_fields: dict[str, str] = {}
         self.found: dict[str, str] | None = None
 
     def handle_starttag(self, tag: str, attrs: list[tuple[str, str | None]]) -> None:
-        fields = {name: value or "" for name, value in attrs}
+        attributes = {name: value or "" for name, value in attrs}
         if tag == "form":
-            self._form = {}
-        elif tag == "input" and fields.get("type") == "hidden":
-            self._form[fields["name"]] = fields.get("value", "")
-        elif tag == "button" and fields.get("value", "") == self._button:
-            self.found = self.found or self._form
+            self._form_fields = {}
+        elif tag == "input" and attributes.get("type") == "hidden":
+            self._form_fields[attributes["name"]] = attributes.get("value", "")
+        elif tag == "button" and attributes.get("value", "") == self._button:
+            self.found = self.found or self._form_fields
 
 
 class Operator:
-    """One operator with a session of their own.
+    """A console session of one operator.
 
     Parameters
     ----------
     console : Address
-        Where the console listens.
+        Address at which the console listens.
     """
 
     def __init__(self, *, console: Address) -> None:
@@ -57,46 +57,60 @@
         self._cookie = ""
 
     async def log_in(self, name: str, password: str) -> None:
-        """Log in by the form."""
-        page = await self._send("GET", "/login")
-        typed = {"name": name, "password": password}
-        answer = await self._press(page, "", "/login", typed)
+        """Log in through the login form.
+
+        Raises
+        ------
+        OperatorError
+            When the console sets no session cookie.
+        """
+        page = await self._request("GET", "/login")
+        entered = {"name": name, "password": password}
+        answer = await self._submit_form(page, "", "/login", entered)
         if not self._cookie:
-            raise OperatorError(f"not logged in: status {answer.status}")
+            raise OperatorError(f"login failed: status {answer.status}")
 
     async def submit(self, document: Document, *, note: str) -> int:
-        """Enter a whole document, review it and accept it; returns its version."""
-        page = await self._send("GET", "/raw")
-        typed = {"text": encode(document).decode()}
-        review = await self._press(page, "raw", "/draft", typed)
+        """Enter a whole document, review and accept it; return its version.
+
+        Raises
+        ------
+        OperatorError
+            When the console refuses the document or does not accept it.
+        """
+        page = await self._request("GET", "/raw")
+        entered = {"text": encode(document).decode()}
+        review = await self._submit_form(page, "raw", "/draft", entered)
         if review.status != 200:
-            raise OperatorError(f"refused: {_text(review)}")
-        accepted = await self._press(review, "accept", "/draft", {"note": note})
-        found = re.search(r"[Vv]ersion (\d+)", _text(accepted))
-        if accepted.status != 200 or found is None:
-            raise OperatorError(f"not accepted: {_text(accepted)}")
-        return int(found.group(1))
+            raise OperatorError(f"document refused: {_page_text(review)}")
+        accepted = await self._submit_form(review, "accept", "/draft", {"note": note})
+        version_match = re.search(r"[Vv]ersion (\d+)", _page_text(accepted))
+        if accepted.status != 200 or version_match is None:
+            raise OperatorError(f"document not accepted: {_page_text(accepted)}")
+        return int(version_match.group(1))
 
     def close(self) -> None:
         """Close idle connections."""
         self._client.close()
 
-    async def _press(
-        self, page: Response, button: str, path: str, typed: dict[str, str]
+    async def _submit_form(
+        self, page: Response, button: str, path: str, entered: dict[str, str]
     ) -> Response:
-        """Send the form that has a button, with what was typed into it."""
+        """Submit the form that has the button, with the entered fields."""
         parser = _HiddenFields(button=button)
         parser.feed(page.body.decode())
         if parser.found is None:
-            raise OperatorError(f"no button {button!r} in: {_text(page)}")
-        fields = {**parser.found, **typed}
+            raise OperatorError(
+                f"no form with button {button!r} in: {_page_text(page)}"
+            )
+        fields = {**parser.found, **entered}
         if button:
             fields["do"] = button
-        return await self._send("POST", path, urlencode(fields).encode())
+        return await self._request("POST", path, urlencode(fields).encode())
 
-    async def _send(self, method: str, path: str, body: bytes = b"") -> Response:
+    async def _request(self, method: str, path: str, body: bytes = b"") -> Response:
         headers = {"cookie": self._cookie, "content-type": FORM_TYPE}
-        deadline = asyncio.get_running_loop().time() + ANSWER_SECONDS
+        deadline = asyncio.get_running_loop().time() + ANSWER_TIMEOUT_SECONDS
         answer = await self._client.request(
             self._console, method, path, body=body, headers=headers, deadline=deadline
         )
@@ -108,6 +122,6 @@
         return answer.ok_value
 
 
-def _text(page: Response) -> str:
-    """Return a page's words without its tags."""
+def _page_text(page: Response) -> str:
+    """Return the text of a page without its tags."""
     return " ".join(re.sub(r"<[^>]*>", " ", page.body.decode()).split())
--- a/chores/platformdemo.py
+++ b/chores/platformdemo.py
@@ -1,4 +1,4 @@
-"""Plays the path on the published platform: nodes as processes between stand-ins."""
+"""The part of the demo on the published platform: node processes and stand-ins."""
 
 from __future__ import annotations
 
@@ -24,12 +24,12 @@
 HOST = "desk.example"
 KEY = "demo-key"
 N_EVENTS = 8
-# Far beyond what any step takes, in seconds.
-PATIENCE_SECONDS = 30.0
+# Far longer than any step takes.
+STEP_TIMEOUT_SECONDS = 30.0
 
 
 def configuration(version: int, services: list[str]) -> dict[str, object]:
-    """Return the operator's configuration; each service gets a route of its name."""
+    """Return an operator's configuration with one route for each given name."""
     engine = {
         "slots": 8,
         "kv-capacity-tokens": 30_000,
@@ -38,7 +38,7 @@
         "moves": True,
         "backups": True,
     }
-    kinds = {"draft": "streaming", "file": "unsafe", "look": "safe"}
+    route_types = {"draft": "streaming", "file": "unsafe", "look": "safe"}
     return {
         "version": version,
         "routes": [
@@ -46,7 +46,7 @@
                 "name": name,
                 "hostname": HOST,
                 "prefix": f"/{name}/",
-                "route-type": kinds[name],
+                "route-type": route_types[name],
                 "timeout-ms": 20_000,
                 "target-latency-ms": 5_000,
                 "service": "models" if name == "draft" else "desk",
@@ -61,12 +61,12 @@
 
 @dataclass(kw_only=True)
 class PlatformDemo:
-    """Two nodes, two engines, a desk and a store.
+    """Two node processes, two engines, a plain worker (the desk) and a store.
 
     Parameters
     ----------
     folder : Path
-        Where settings and logs go.
+        Directory for the nodes' settings files and logs.
     """
 
     folder: Path
@@ -76,18 +76,18 @@
     processes: list[subprocess.Popen[bytes]] = field(default_factory=list)
     client: HttpClient = field(default_factory=lambda: HttpClient(id_header=None))
     directories: list[Address] = field(default_factory=list)
-    _n_asked: int = 0
+    _n_requests: int = 0
 
     async def run(self) -> str:
-        """Play it; returns a line of figures.
+        """Run all steps; return a line of figures.
 
         Raises
         ------
         AssertionError
-            When a promise was not kept.
+            When a step does not give the expected result.
         """
         try:
-            return await self._play()
+            return await self._run_steps()
         finally:
             for process in self.processes:
                 process.kill()
@@ -97,46 +97,46 @@
                 await worker.close()
             await self.store.close()
 
-    async def _play(self) -> str:
-        store = await self.store.start()
+    async def _run_steps(self) -> str:
+        store_address = await self.store.start()
         self.store.put("op", "config", configuration(1, ["draft", "file"]))
         await self.desk.start()
         self.store.put("servers", "desk-1", self.desk.row("desk"))
-        first = await self._add_engine("engine-1")
-        news_port = free_address().port
+        first_engine = await self._add_engine("engine-1")
+        peer_port = free_address().port
         for number in (1, 2):
-            self._start_node(number, store, news_port)
-        addresses = await self._addresses(len(self.processes))
+            self._start_node(number, store_address, peer_port)
+        addresses = await self._wait_for_addresses(len(self.processes))
         node = addresses[0]
 
-        filed = await self._ask(node, "/file/1", body=b"deposit")
+        filed = await self._request(node, "/file/1", body=b"deposit")
         assert filed.body == b"desk-1 deposit", filed
-        assert (await self._ask(node, "/look/1")).status == 404
+        assert (await self._request(node, "/look/1")).status == 404
         self.store.put("op", "config", configuration(2, ["draft", "file", "look"]))
-        await self._until_status(node, "/look/1", 200)
+        await self._wait_for_status(node, "/look/1", 200)
 
-        drafting = asyncio.ensure_future(self._ask(node, "/draft/1"))
-        await _until(lambda: bool(first.running))
-        await first.tick(3)
-        second = await self._add_engine("engine-2")
+        draft_task = asyncio.ensure_future(self._request(node, "/draft/1"))
+        await _wait_until(lambda: bool(first_engine.running))
+        await first_engine.tick(3)
+        second_engine = await self._add_engine("engine-2")
         await asyncio.sleep(1.5)
-        self.store.put("servers", "engine-1", first.row("models", "draining"))
-        await _until(lambda: bool(second.running))
-        await second.tick(N_EVENTS)
-        draft = await drafting
+        self.store.put("servers", "engine-1", first_engine.row("models", "draining"))
+        await _wait_until(lambda: bool(second_engine.running))
+        await second_engine.tick(N_EVENTS)
+        draft = await draft_task
         events = [event for event in draft.body.split(b"\n\n") if event]
-        wanted = [f"id: {n}\ndata: word {n}".encode() for n in range(N_EVENTS)]
-        assert events == wanted, events
+        expected = [f"id: {n}\ndata: word {n}".encode() for n in range(N_EVENTS)]
+        assert events == expected, events
         assert len(self.desk.ran) == 2, self.desk.ran
 
         for process in self.processes:
             process.terminate()
         for process in self.processes:
-            assert process.wait(PATIENCE_SECONDS) == 0
+            assert process.wait(STEP_TIMEOUT_SECONDS) == 0
         self.processes.clear()
         return (
-            f"platform: a filing ran once, a look-up's route came into force, a draft "
-            f"of {N_EVENTS} events was moved between engines, two nodes stopped"
+            f"platform: a filing ran once, a new look-up route took effect, a draft of "
+            f"{N_EVENTS} events was migrated between engines, two nodes stopped"
         )
 
     async def _add_engine(self, name: str) -> EngineWorker:
@@ -149,17 +149,17 @@
         self.store.put("servers", name, engine.row("models"))
         return engine
 
-    def _start_node(self, number: int, store: Address, news_port: int) -> None:
-        # Nodes find one another's news by one port on different addresses.
+    def _start_node(self, number: int, store: Address, peer_port: int) -> None:
+        # Nodes reach one another on the same peer port, so only their hosts differ.
         host = f"127.0.0.{20 + number}"
-        names = ("front", "ready", "control", "directory")
-        listen = {name: f"{host}:{free_address().port}" for name in names}
+        listeners = ("front", "ready", "control", "directory")
+        listen = {name: f"{host}:{free_address().port}" for name in listeners}
         settings = {
             "node": f"vm-{number}",
             "zone": "a",
             "region": "r",
             "listen": listen,
-            "port-range": [news_port, news_port],
+            "port-range": [peer_port, peer_port],
             "seeds": [],
             "bounds": {"retry-slack": 100},
             "infrastructure": {"address": str(store)},
@@ -175,43 +175,45 @@
         self.processes.append(process)
         self.directories.append(Address.parse(listen["directory"]))
 
-    async def _addresses(self, n_wanted: int) -> list[Address]:
-        """Ask a node which addresses to use, until all are named."""
-        deadline = asyncio.get_running_loop().time() + PATIENCE_SECONDS
+    async def _wait_for_addresses(self, n_expected: int) -> list[Address]:
+        """Wait until a node's directory returns all nodes; return their addresses."""
+        deadline = asyncio.get_running_loop().time() + STEP_TIMEOUT_SECONDS
         while asyncio.get_running_loop().time() < deadline:
-            answered = await self.client.request(
+            result = await self.client.request(
                 self.directories[0], "GET", f"/api/resolve?name={HOST}&zone=a"
             )
-            if answered.is_ok():
-                found = answered.unwrap().json()["addresses"]  # type: ignore[index]
-                if len(found) == n_wanted:
-                    return [Address.parse(text) for text in found]
+            if result.is_ok():
+                texts = result.unwrap().json()["addresses"]  # type: ignore[index]
+                if len(texts) == n_expected:
+                    return [Address.parse(text) for text in texts]
             await asyncio.sleep(0.1)
-        raise AssertionError("the nodes did not find one another")
+        raise AssertionError("the nodes did not discover one another")
 
-    async def _ask(self, node: Address, path: str, body: bytes = b"") -> Response:
-        self._n_asked += 1
+    async def _request(self, node: Address, path: str, body: bytes = b"") -> Response:
+        self._n_requests += 1
         headers = {
             "host": HOST,
             "authorization": f"Bearer {KEY}",
-            "x-attempt-id": f"demo-{self._n_asked}",
+            "x-attempt-id": f"demo-{self._n_requests}",
             "x-time-budget-ms": "20000",
             "x-token-count": "1000,50",
         }
         method = "GET" if path.startswith("/look") else "POST"
-        answered = await self.client.request(
+        result = await self.client.request(
             node, method, path, body=body, headers=headers
         )
-        return answered.unwrap()
+        return result.unwrap()
 
-    async def _until_status(self, node: Address, path: str, status: int) -> None:
-        deadline = asyncio.get_running_loop().time() + PATIENCE_SECONDS
-        while (await self._ask(node, path)).status != status:
-            assert asyncio.get_running_loop().time() < deadline, f"no {status}"
+    async def _wait_for_status(self, node: Address, path: str, status: int) -> None:
+        deadline = asyncio.get_running_loop().time() + STEP_TIMEOUT_SECONDS
+        while (await self._request(node, path)).status != status:
+            assert asyncio.get_running_loop().time() < deadline, (
+                f"the status did not become {status}"
+            )
             await asyncio.sleep(0.1)
 
 
-async def _until(is_so: Callable[[], bool]) -> None:
-    async with asyncio.timeout(PATIENCE_SECONDS):
-        while not is_so():  # noqa: ASYNC110 - the stand-ins have no event for it
+async def _wait_until(condition: Callable[[], bool]) -> None:
+    async with asyncio.timeout(STEP_TIMEOUT_SECONDS):
+        while not condition():  # noqa: ASYNC110 - the stand-ins offer no event to await
             await asyncio.sleep(0.01)
--- a/chores/run.py
+++ b/chores/run.py
@@ -1,4 +1,4 @@
-"""Leaves a whole system up to play with, and prints what to try."""
+"""Run a whole system until it is interrupted, and print example requests."""
 
 from __future__ import annotations
 
@@ -35,33 +35,33 @@
 
 def _print_help(system: System, key: str) -> None:
     node = system.children["node-1"]
-    other = system.children["node-2"]
+    other_node = system.children["node-2"]
     console = system.children["console"].address
-    head = f"-H 'authorization: Bearer {key}' -H 'content-type: application/json'"
+    headers = f"-H 'authorization: Bearer {key}' -H 'content-type: application/json'"
     body = f'{{"model":"{MODEL}","prompt":"Draft a contract","stream":true}}'
     password = system.operator_password
     print(f"""
 The console: http://{console}/  (operator {OPERATOR}, password {password})
 Logs: {system.folder}
 
-Which addresses to use:
+The current addresses:
   curl http://{node.address}/v1/addresses
 A draft, token by token; each event's id is TICKET.OFFSET:
-  curl -N http://{node.address}/v1/completions {head} \\
+  curl -N http://{node.address}/v1/completions {headers} \\
     -d '{body}'
-The rest of it from another node, after its last event:
-  curl -N http://{other.address}/v1/generations/TICKET {head} \\
+Resume it at another node, after its last event:
+  curl -N http://{other_node.address}/v1/generations/TICKET {headers} \\
     -H 'last-event-id: TICKET.OFFSET'
-A filing that runs once for its key, however often it is sent:
-  curl http://{node.address}/v1/services/{SERVICE}/file {head} \\
+A filing that runs once per idempotency key, even when it is repeated:
+  curl http://{node.address}/v1/services/{SERVICE}/file {headers} \\
     -H 'idempotency-key: my-filing' -d '{{"signed_by":"R. Alvarez"}}'
-What became of it:
-  curl http://{other.address}/v1/services/{SERVICE}/calls/my-filing {head}
-One time line of all processes:
+The status of that filing:
+  curl http://{other_node.address}/v1/services/{SERVICE}/calls/my-filing {headers}
+The merged timeline of all processes:
   {sys.executable} -m celerytrail timeline {system.folder}/*.log
-Kill a node: kill -9 {node.pid}   Stop one gracefully: kill {other.pid}
+Kill a node: kill -9 {node.pid}   Stop one gracefully: kill {other_node.pid}
 
-Control-C ends everything.
+Control-C stops all processes.
 """)
 
 
--- a/chores/system.py
+++ b/chores/system.py
@@ -1,7 +1,7 @@
-"""Starts and ends a whole system of separate processes on this machine.
+"""A whole system of separate processes on this machine.
 
-The system's own programs start no process; this chore does, for the demo, for
-``make run`` and for scenarios with real processes.
+The system's own programs start no processes. This module starts and stops them for
+the demo, ``make run``, the capacity benchmark and scenarios with real processes.
 """
 
 from __future__ import annotations
@@ -25,12 +25,12 @@
 from celerytrail.types import Address
 from standins.worker import worker_row, write_rows
 
-START_SECONDS = 20.0
-STOP_SECONDS = 20.0
-POLL_SECONDS = 0.05
+START_TIMEOUT_SECONDS = 20.0
+STOP_TIMEOUT_SECONDS = 20.0
+POLL_INTERVAL_SECONDS = 0.05
 
-PORTS = range(15_000, 30_000)
-_given: set[int] = set()
+CANDIDATE_PORTS = range(15_000, 30_000)
+_assigned_ports: set[int] = set()
 
 FAILURE_DOMAINS = ("a", "b", "c")
 MODEL = "contracts"
@@ -38,12 +38,12 @@
 
 
 class ProcessError(CelerytrailError):
-    """A process of the system did not do what it should."""
+    """A process exited during its start, or does not listen in time."""
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Child:
-    """One process that was started."""
+    """A started process, its addresses and its log file."""
 
     name: str
     process: subprocess.Popen[bytes]
@@ -53,17 +53,17 @@
 
     @property
     def pid(self) -> int:
-        """Return its process id."""
+        """Return the process id."""
         return self.process.pid
 
     def signal(self, number: signal.Signals) -> None:
-        """Send it a signal."""
+        """Send a signal to the process."""
         self.process.send_signal(number)
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Layout:
-    """How many of what are started."""
+    """Number of processes of each kind, and the settings that they start with."""
 
     n_engines: int = 6
     n_endpoints: int = 3
@@ -74,14 +74,14 @@
 
 @dataclass(kw_only=True)
 class System:
-    """All processes of one small deployment.
+    """The processes of one small deployment.
 
     Parameters
     ----------
     folder : Path
-        Where their logs go.
+        Directory for log files and captured output.
     layout : Layout
-        How many of what.
+        Number of processes of each kind, and their settings.
     """
 
     folder: Path
@@ -93,7 +93,7 @@
     _peer_keys: str = field(default_factory=lambda: f"p1:{secrets.token_hex(32)}")
 
     async def start(self, *, has_console: bool = True) -> None:
-        """Start stand-ins, nodes and console, and wait until all of them listen."""
+        """Start all processes, wait until they listen, and publish the VMs."""
         self.folder.mkdir(parents=True, exist_ok=True)
         self.start_standin("platform", "standins.platform")
         for number in range(1, self.layout.n_engines + 1):
@@ -134,17 +134,17 @@
         return ["--log", str(self.folder / f"{name}.log")]
 
     def start_standin(self, name: str, module: str, *flags: str) -> Child:
-        """Start a stand-in."""
+        """Start a stand-in from its module, on a free port."""
         address = free_address()
         command = [sys.executable, "-m", module, "--listen", str(address), *flags]
         return self._spawn(name, command, address)
 
     def start_node(self, number: int) -> Child:
-        """Start a node; nodes are spread over the failure domains."""
+        """Start a node in the failure domain that its number selects, in rotation."""
         address, peer = free_address(), free_address()
         domain = FAILURE_DOMAINS[(number - 1) % len(FAILURE_DOMAINS)]
         name = f"node-{number}"
-        command = self._celerytrail("node", name)
+        command = self._celerytrail_command("node", name)
         command += ["--failure-domain", domain, "--caller-listen", str(address)]
         command += ["--peer-listen", str(peer), "--seeds", self._seeds()]
         command += ["--answer-seconds", str(self.layout.answer_seconds)]
@@ -153,31 +153,47 @@
     def start_console(self) -> Child:
         """Start the operators' console."""
         address = free_address()
-        command = self._celerytrail("console", "console")
+        command = self._celerytrail_command("console", "console")
         command += ["--listen", str(address), "--nodes", self._seeds()]
-        secret = {
+        secrets_environment = {
             "CELERYTRAIL_ACCOUNTS": make_account("ana", self.operator_password),
             "CELERYTRAIL_SESSION_KEYS": f"s1:{secrets.token_hex(32)}",
         }
-        return self._spawn("console", command, address, more=secret)
+        return self._spawn(
+            "console", command, address, extra_environment=secrets_environment
+        )
 
     async def wait_listening(self, child: Child) -> None:
-        """Wait until a process accepts connections."""
-        deadline = asyncio.get_running_loop().time() + START_SECONDS
+        """Wait until a process answers its health check.
+
+        Raises
+        ------
+        ProcessError
+            When the process exits, or does not answer within the timeout.
+        """
+        deadline = asyncio.get_running_loop().time() + START_TIMEOUT_SECONDS
         client = HttpClient()
         while asyncio.get_running_loop().time() < deadline:
             if child.process.poll() is not None:
                 output = (self.folder / f"{child.name}.out").read_text()
-                raise ProcessError(f"{child.name} ended: {output[-2_000:]}")
-            asked = await client.request(child.address, "GET", "/healthz")
-            if not isinstance(asked, Err):
+                raise ProcessError(
+                    f"{child.name} exited during its start: {output[-2_000:]}"
+                )
+            health = await client.request(child.address, "GET", "/healthz")
+            if not isinstance(health, Err):
                 client.close()
                 return
-            await asyncio.sleep(POLL_SECONDS)
-        raise ProcessError(f"{child.name} does not listen")
+            await asyncio.sleep(POLL_INTERVAL_SECONDS)
+        raise ProcessError(f"{child.name} does not answer health checks")
 
     async def publish_vms(self, leaving: tuple[str, ...] = ()) -> None:
-        """Write the rows by which the platform tells which VMs there are."""
+        """Write a registration row for each process to the platform's table.
+
+        Parameters
+        ----------
+        leaving : tuple of str
+            Names of processes to register as draining.
+        """
         rows = {}
         for child in self.children.values():
             state = "draining" if child.name in leaving else "ready"
@@ -187,7 +203,7 @@
         client.close()
 
     def nodes(self) -> list[Child]:
-        """Return the nodes that still run."""
+        """Return the nodes whose processes are running."""
         return [
             child
             for name, child in self.children.items()
@@ -195,21 +211,21 @@
         ]
 
     def logs(self) -> list[Path]:
-        """Return the logs of all processes."""
+        """Return the existing log files of all processes."""
         logs = [child.log for child in self.children.values() if child.log is not None]
         return [log for log in logs if log.exists()]
 
     def stop(self) -> list[str]:
-        """End every process that was started; returns those that had to be killed."""
+        """Stop all processes; return the names of those that had to be killed."""
         running = [c for c in self.children.values() if c.process.poll() is None]
         for child in running:
-            # A frozen process takes no signal but this one.
+            # A suspended process handles SIGTERM only after it is continued.
             child.signal(signal.SIGCONT)
             child.signal(signal.SIGTERM)
         killed = []
         for child in running:
             try:
-                child.process.wait(STOP_SECONDS)
+                child.process.wait(STOP_TIMEOUT_SECONDS)
             except subprocess.TimeoutExpired:
                 child.process.kill()
                 child.process.wait()
@@ -220,11 +236,11 @@
         peers = [c.peer for c in self.children.values() if c.peer is not None]
         return ",".join(str(peer) for peer in peers[:3])
 
-    def _celerytrail(self, command: str, name: str) -> list[str]:
+    def _celerytrail_command(self, command: str, name: str) -> list[str]:
         platform = str(self.children["platform"].address)
         log = str(self.folder / f"{name}.log")
-        start = [sys.executable, "-m", "celerytrail", command, "--vm", name]
-        return [*start, "--platform", platform, "--log-file", log]
+        prefix = [sys.executable, "-m", "celerytrail", command, "--vm", name]
+        return [*prefix, "--platform", platform, "--log-file", log]
 
     def _spawn(
         self,
@@ -232,21 +248,21 @@
         command: list[str],
         address: Address,
         peer: Address | None = None,
-        more: dict[str, str] | None = None,
+        extra_environment: dict[str, str] | None = None,
     ) -> Child:
         environment = {
             **os.environ,
             "CELERYTRAIL_PEER_KEYS": self._peer_keys,
             "CELERYTRAIL_TICKET_KEYS": self._ticket_keys,
-            **(more or {}),
+            **(extra_environment or {}),
         }
-        output = self.folder / f"{name}.out"
-        with output.open("ab") as out:
+        output_path = self.folder / f"{name}.out"
+        with output_path.open("ab") as output:
             process = subprocess.Popen(
                 command,
                 stdin=subprocess.DEVNULL,
-                stdout=out,
-                stderr=out,
+                stdout=output,
+                stderr=output,
                 env=environment,
             )
         log = self.folder / f"{name}.log" if "log" in " ".join(command) else None
@@ -258,20 +274,20 @@
 def free_address() -> Address:
     """Return a loopback address whose port is free for TCP and UDP.
 
-    The kernel gives connections their ports from a range above these. Were a port of
-    that range chosen, somebody's connection could take it before the process that it
-    was chosen for binds it; that ended a node at its start now and then.
+    ``CANDIDATE_PORTS`` lies below the kernel's range of ephemeral ports. An outgoing
+    connection can take a port of that range before the started process binds it,
+    which made nodes fail at their start now and then.
     """
     while True:
-        port = random.SystemRandom().choice(PORTS)
-        if port not in _given and _is_free(port):
-            _given.add(port)
+        port = random.SystemRandom().choice(CANDIDATE_PORTS)
+        if port not in _assigned_ports and _is_free(port):
+            _assigned_ports.add(port)
             return Address(host="127.0.0.1", port=port)
 
 
 def _is_free(port: int) -> bool:
-    for kind in (socket.SOCK_STREAM, socket.SOCK_DGRAM):
-        with socket.socket(type=kind) as probe:
+    for socket_type in (socket.SOCK_STREAM, socket.SOCK_DGRAM):
+        with socket.socket(type=socket_type) as probe:
             try:
                 probe.bind(("127.0.0.1", port))
             except OSError:
