--- a/tests/test_store_fuzz.py
+++ b/tests/test_store_fuzz.py
@@ -1,4 +1,4 @@
-"""Operators, faults and kills in any order against a simple oracle."""
+"""Edits of the document under faults and kills in any order, against an oracle."""
 
 from __future__ import annotations
 
@@ -29,17 +29,20 @@
 
 
 class World:
-    """Three operators, each with a console; what each was told."""
+    """Three operators, each with a console, and the answers that they received.
+
+    ``answers`` maps an operation to its accepted version; 0 denotes a conflict.
+    """
 
     def __init__(self):
         self.table, self.objects = FakeTable(), FakeObjects()
         self.objects.is_staggered = True
         self.n_operations = 0
-        self.told = {}
-        self.forms = {}
-        self.old_rows = {}
+        self.answers = {}
+        self.last_forms = {}
+        self.earlier_rows = {}
 
-    def store(self, number):
+    def console_store(self, number):
         return DocumentStore(
             table=self.table,
             objects=self.objects,
@@ -48,25 +51,25 @@
         )
 
     async def accept(self, operator, fault, n_turns):
-        """Edit what the operator sees and send the form."""
+        """Load the document, edit it and submit the operator's form."""
         deadline = asyncio.get_running_loop().time() + 5
-        loaded = await self.store(operator).load(deadline)
+        loaded = await self.console_store(operator).load(deadline)
         if loaded.is_err():
             return
         self.n_operations += 1
         name = f"op{self.n_operations}"
         document = Document(organisations=(OrganisationSpec(name=name),))
-        self.forms[operator] = (name, loaded.ok_value.version, document)
-        await self.send(operator, fault, n_turns)
+        self.last_forms[operator] = (name, loaded.ok_value.version, document)
+        await self.submit(operator, fault, n_turns)
 
-    async def send(self, operator, fault, n_turns):
-        """Send the operator's last form, for the first time or again."""
-        if operator not in self.forms:
+    async def submit(self, operator, fault, n_turns):
+        """Submit the operator's last form, for the first time or as a retry."""
+        if operator not in self.last_forms:
             return
-        name, base, document = self.forms[operator]
+        name, base, document = self.last_forms[operator]
         self.set_fault(fault, n_turns)
-        accepting = asyncio.create_task(
-            self.store(operator).accept(
+        accept_task = asyncio.create_task(
+            self.console_store(operator).accept(
                 document,
                 base_version=base,
                 operation_id=name,
@@ -78,31 +81,31 @@
         if fault == "killed":
             for _ in range(n_turns):
                 await asyncio.sleep(0)
-            accepting.cancel()
-            await asyncio.wait([accepting])
+            accept_task.cancel()
+            await asyncio.wait([accept_task])
             return
-        made = await accepting
-        if made.is_ok():
-            verdict = made.ok_value.version
-        elif isinstance(made.err_value, Conflict):
-            verdict = 0
+        accepted = await accept_task
+        if accepted.is_ok():
+            answer = accepted.ok_value.version
+        elif isinstance(accepted.err_value, Conflict):
+            answer = 0
         else:
-            # An outage or a doubt promises nothing about earlier tries.
+            # Unavailability or an unknown outcome says nothing about earlier attempts.
             return
-        assert self.told.setdefault(name, verdict) == verdict
+        assert self.answers.setdefault(name, answer) == answer
 
     def set_fault(self, fault, n_turns):
         self.table.n_replies_to_lose = n_turns if fault == "lost" else 0
         self.table.n_writes_to_delay = n_turns if fault == "delayed" else 0
         self.table.is_down = fault == "down"
         self.objects.is_down = fault == "objects down"
-        self.table.stale_rows = dict(self.old_rows)
+        self.table.stale_rows = dict(self.earlier_rows)
         self.table.n_stale_reads = n_turns if fault == "stale" else 0
         if n_turns % 2:
-            self.old_rows = dict(self.table.rows)
+            self.earlier_rows = dict(self.table.rows)
 
     def release(self):
-        """Let the writes arrive that were given up on the way."""
+        """Apply the delayed writes, whose callers have timed out."""
         delayed, self.table.delayed = self.table.delayed, []
         for transaction in delayed:
             self.table.apply(transaction)
@@ -112,19 +115,19 @@
             if action == "accept":
                 await self.accept(operator, fault, n_turns)
             elif action == "again":
-                await self.send(operator, fault, n_turns)
+                await self.submit(operator, fault, n_turns)
             elif action == "release":
                 self.release()
             self.set_fault("none", 0)
         self.release()
-        self.check()
-        loaded = await self.store(9).load(asyncio.get_running_loop().time() + 5)
+        self.check_history()
+        loaded = await self.console_store(9).load(asyncio.get_running_loop().time() + 5)
         newest = loaded.ok_value
         if newest.head is not None:
             name = newest.document.organisations[0].name
             assert name == newest.head.operation_id
 
-    def check(self):
+    def check_history(self):
         history = [
             row.value
             for key, row in self.table.rows.items()
@@ -135,7 +138,7 @@
         assert versions == list(range(1, len(history) + 1))
         by_operation = {row["operation_id"]: row["version"] for row in history}
         assert len(by_operation) == len(history)
-        for name, version in self.told.items():
+        for name, version in self.answers.items():
             assert by_operation.get(name, 0) == version, name
 
 
