--- a/bench/__main__.py
+++ b/bench/__main__.py
@@ -1,6 +1,6 @@
 """Run the bench: ``python -m bench [--quick]``.
 
-Prints a table of medians over seeds, says for each aim whether it is met, and writes
+Prints a table of medians over seeds and whether each target is met, and writes
 ``out/bench.json`` and ``out/bench.png``.
 """
 
@@ -44,20 +44,34 @@
     ("lost", "lost", lambda v: f"{v:.0f}"),
     ("smallest", "smallest_share", lambda v: f"{v:.2f}"),
 )
-Key = tuple[str, float, str, str]
+GroupKey = tuple[str, float, str, str]
 
 
 def main() -> None:
-    """Parse the arguments, run and report."""
+    """Parse the arguments, run the cases and report the outcomes."""
     parser = argparse.ArgumentParser(description=__doc__)
-    parser.add_argument("--quick", action="store_true", help="a few runs, under 45 s")
-    parser.add_argument("--seeds", type=int, default=5, help="how many seeds")
-    parser.add_argument("--only", default="", help="one deployment")
-    parser.add_argument("--faults", default="", help="these cases only, by comma")
-    parser.add_argument("--policies", default="", help="these policies only, by comma")
-    parser.add_argument("--loads", default="", help="these loads only, by comma")
-    parser.add_argument("--capacity", type=float, help="tokens/s, with --only")
-    parser.add_argument("--out", default="out/bench", help="the files' common name")
+    parser.add_argument(
+        "--quick", action="store_true", help="make a few short runs, under 45 s"
+    )
+    parser.add_argument("--seeds", type=int, default=5, help="number of seeds per case")
+    parser.add_argument("--only", default="", help="run this deployment only")
+    parser.add_argument(
+        "--faults", default="", help="run these faults only, comma-separated"
+    )
+    parser.add_argument(
+        "--policies", default="", help="run these policies only, comma-separated"
+    )
+    parser.add_argument(
+        "--loads", default="", help="run these loads only, comma-separated"
+    )
+    parser.add_argument(
+        "--capacity",
+        type=float,
+        help="capacity in tokens/s instead of measuring it; needs --only",
+    )
+    parser.add_argument(
+        "--out", default="out/bench", help="path of the output files without suffix"
+    )
     args = parser.parse_args()
     started = time.monotonic()
     names = [args.only] if args.only else list(DEPLOYMENTS)
@@ -67,15 +81,15 @@
         if args.capacity:
             capacities = {args.only: args.capacity}
         else:
-            found = pool.map(measure_capacity, names)
-            capacities = dict(zip(names, found, strict=True))
+            measured = pool.map(measure_capacity, names)
+            capacities = dict(zip(names, measured, strict=True))
         for name, capacity in capacities.items():
             print(f"capacity of {name}: {capacity:.0f} tokens/s by the oracle")
         cases = _cases(args, capacities)
         outcomes = list(pool.map(run_case, cases))
     groups = _group(outcomes)
     _print_table(groups)
-    _print_aims(groups)
+    _print_targets(groups)
     _write(args.out, outcomes, capacities)
     print(
         f"{len(outcomes)} runs in {time.monotonic() - started:.0f} s", file=sys.stderr
@@ -113,30 +127,32 @@
     ]
 
 
-def _group(outcomes: list[Outcome]) -> dict[Key, list[Outcome]]:
-    groups: dict[Key, list[Outcome]] = {}
+def _group(outcomes: list[Outcome]) -> dict[GroupKey, list[Outcome]]:
+    groups: dict[GroupKey, list[Outcome]] = {}
     for o in outcomes:
         groups.setdefault((o.deployment, o.load, o.fault, o.policy), []).append(o)
     return groups
 
 
-def _print_table(groups: dict[Key, list[Outcome]]) -> None:
-    heads = "".join(f"{head:>20}" for head, _, _ in COLUMNS)
-    print(f"\nmedians over seeds [least, greatest]\n{'':40}{heads}")
+def _print_table(groups: dict[GroupKey, list[Outcome]]) -> None:
+    header = "".join(f"{title:>20}" for title, _, _ in COLUMNS)
+    print(f"\nmedians over seeds [least, greatest]\n{'':40}{header}")
     for (deployment, load, fault, policy), outcomes in groups.items():
         line = f"{deployment:8} {load:.1f} {fault:10} {policy:15}"
-        for _, field, show in COLUMNS:
+        for _, field, to_text in COLUMNS:
             low, high = spread(outcomes, field)
-            cell = f"{show(median(outcomes, field))} [{show(low)},{show(high)}]"
+            cell = (
+                f"{to_text(median(outcomes, field))} [{to_text(low)},{to_text(high)}]"
+            )
             line += f"{cell:>20}"
         print(line)
 
 
-def _print_aims(groups: dict[Key, list[Outcome]]) -> None:
-    print("\naims at 1.0 of capacity")
+def _print_targets(groups: dict[GroupKey, list[Outcome]]) -> None:
+    print("\ntargets at 1.0 of capacity")
     for name in DEPLOYMENTS:
 
-        def mid(policy: str, field: str, fault: str = "none", name=name) -> float:  # type: ignore[no-untyped-def]
+        def median_of(policy: str, field: str, fault: str = "none", name=name) -> float:  # type: ignore[no-untyped-def]
             return median(groups[name, 1.0, fault, policy], field)
 
         needed = {(name, 1.0, "none", policy) for policy in QUICK_POLICIES}
@@ -144,32 +160,36 @@
             continue
         baselines = ("round_robin", "least_reported")
         for field, factor in (("n_preemptions", 0.2), ("stall_seconds", 0.5)):
-            best = min(mid(policy, field) for policy in baselines)
-            _print_aim(name, field, mid("ours", field), factor * best, at_most=True)
-        _print_aim(
+            best = min(median_of(policy, field) for policy in baselines)
+            _print_target(
+                name, field, median_of("ours", field), factor * best, at_most=True
+            )
+        _print_target(
             name,
             "gap_p99",
-            mid("ours", "gap_p99"),
-            1.2 * mid("oracle", "gap_p99"),
+            median_of("ours", "gap_p99"),
+            1.2 * median_of("oracle", "gap_p99"),
             at_most=True,
         )
-        known = [p for p in POLICIES[:3] if (name, 1.0, "none", p) in groups]
-        best = max(mid(policy, "goodput") for policy in known)
-        _print_aim(name, "goodput", mid("ours", "goodput"), best, at_most=False)
+        baselines_run = [p for p in POLICIES[:3] if (name, 1.0, "none", p) in groups]
+        best = max(median_of(policy, "goodput") for policy in baselines_run)
+        _print_target(
+            name, "goodput", median_of("ours", "goodput"), best, at_most=False
+        )
         if (name, 1.0, "greedy", "ours") in groups:
-            share = mid("ours", "smallest_share", "greedy")
-            _print_aim(name, "smallest_share", share, 0.9, at_most=False)
+            share = median_of("ours", "smallest_share", "greedy")
+            _print_target(name, "smallest_share", share, 0.9, at_most=False)
     late = sum(o.late_refusals for key in groups for o in groups[key])
     print(f"  refusals neither within 50 ms nor at the deadline: {late:.0f}")
 
 
-def _print_aim(
+def _print_target(
     name: str, field: str, value: float, bound: float, *, at_most: bool
 ) -> None:
-    met = value <= bound if at_most else value >= bound
+    is_met = value <= bound if at_most else value >= bound
     sign = "<=" if at_most else ">="
-    word = "met" if met else "NOT MET"
-    print(f"  {name:8} {field:15} {value:10.4g} {sign} {bound:10.4g}  {word}")
+    verdict = "met" if is_met else "NOT MET"
+    print(f"  {name:8} {field:15} {value:10.4g} {sign} {bound:10.4g}  {verdict}")
 
 
 def _write(out: str, outcomes: list[Outcome], capacities: dict[str, float]) -> None:
--- a/bench/cases.py
+++ b/bench/cases.py
@@ -1,4 +1,4 @@
-"""The bench's cases and what is made of a run's measures."""
+"""Run the bench's cases and summarise the measures of each."""
 
 from __future__ import annotations
 
@@ -9,39 +9,40 @@
 from dataclasses import asdict, dataclass, replace
 
 from bench.faults import FAULTS
-from bench.simulation import GAP_STEP, Measures, Simulation
+from bench.simulation import GAP_STEP_SECONDS, Measures, Simulation
 from bench.strategies import make_strategy
 from bench.workloads import DEPLOYMENTS, Deployment, mean_length
 
-# Calls that come so much faster than served show what a pool can sustain.
-OVERLOAD = 2.0
-# A first guess at tokens a second for each engine, to set the overload's rate.
-GUESS_PER_ENGINE = 800.0
+# Offered load over the assumed capacity. It keeps the queue from ever being empty while
+# the sustained capacity is measured.
+OVERLOAD_FACTOR = 2.0
+# Sets the rate of calls in that measurement.
+ASSUMED_TOKENS_PER_SECOND_PER_ENGINE = 800.0
 CAPACITY_SEED = 999
-# The greedy case: one organisation offers ten times its even share, the nine others
-# nine tenths of theirs.
+# In the greedy case, one organisation offers as much as the whole pool can serve, ten
+# times its even share. The nine others offer this part of theirs.
 N_ORGANISATIONS = 10
-GREEDY_OTHERS = 0.9
+MODERATE_SHARE = 0.9
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Case:
-    """One run to make.
+    """Describes one run.
 
     Parameters
     ----------
     deployment, policy : str
-        Names of both.
+        Their names.
     load : float
         Offered tokens as a share of capacity.
     fault : str
         A name in `FAULTS`, ``none``, or ``greedy`` for the greedy organisation.
     seed : int
-        Fixes the run.
+        Seeds the run.
     capacity : float
-        Tokens a second that the oracle sustains, from `measure_capacity`.
+        Tokens per second that the oracle sustains, from `measure_capacity`.
     length : float
-        Share of the deployment's usual run that is made.
+        Length of the run as a share of the deployment's usual run.
     """
 
     deployment: str
@@ -55,7 +56,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Outcome:
-    """What came of a case; times in seconds, rates in tokens a second."""
+    """Summarises a case; durations in seconds, rates in tokens per second."""
 
     deployment: str
     policy: str
@@ -78,12 +79,12 @@
 
 
 def measure_capacity(name: str) -> float:
-    """Return the tokens a second that the oracle sustains with a queue never empty."""
+    """Return the tokens per second that the oracle sustains under overload."""
     deployment = DEPLOYMENTS[name]
-    guess = GUESS_PER_ENGINE * deployment.n_engines
+    assumed_capacity = ASSUMED_TOKENS_PER_SECOND_PER_ENGINE * deployment.n_engines
     sim = Simulation(
         deployment=deployment,
-        rate=OVERLOAD * guess / mean_length(deployment),
+        rate=OVERLOAD_FACTOR * assumed_capacity / mean_length(deployment),
         shares=deployment.shares,
         seed=CAPACITY_SEED,
         strategy=make_strategy("oracle", CAPACITY_SEED),
@@ -93,14 +94,14 @@
 
 
 def run_case(case: Case) -> Outcome:
-    """Make one run."""
+    """Run a case and return its outcome."""
     started = time.process_time()
-    deployment = _deployment(case)
+    deployment = _scaled_deployment(case)
     rate = case.load * case.capacity / mean_length(deployment)
     shares = deployment.shares
     if case.fault == "greedy":
-        others = GREEDY_OTHERS / N_ORGANISATIONS
-        weights = [1.0] + [others] * (N_ORGANISATIONS - 1)
+        moderate_weight = MODERATE_SHARE / N_ORGANISATIONS
+        weights = [1.0] + [moderate_weight] * (N_ORGANISATIONS - 1)
         rate *= sum(weights)
         shares = tuple(weight / sum(weights) for weight in weights)
     sim = Simulation(
@@ -117,13 +118,13 @@
     return _outcome(case, measures, time.process_time() - started)
 
 
-def _deployment(case: Case) -> Deployment:
-    usual = DEPLOYMENTS[case.deployment]
-    return replace(usual, seconds=usual.seconds * case.length)
+def _scaled_deployment(case: Case) -> Deployment:
+    deployment = DEPLOYMENTS[case.deployment]
+    return replace(deployment, seconds=deployment.seconds * case.length)
 
 
 def _outcome(case: Case, measures: Measures, run_seconds: float) -> Outcome:
-    deployment = _deployment(case)
+    deployment = _scaled_deployment(case)
     seconds = deployment.seconds - deployment.warm_up
     gap_p50, gap_p99, gap_p999 = _quantiles(measures.gaps, (0.5, 0.99, 0.999))
     first = sorted(measures.first_tokens) or [0.0]
@@ -143,26 +144,28 @@
         first_p50=first[len(first) // 2],
         first_p99=first[int(0.99 * len(first))],
         goodput=(measures.n_delivered - measures.n_lost_tokens) / seconds,
-        refused=(measures.n_refused + measures.n_given_up) / n_calls,
+        refused=(measures.n_refused + measures.n_timed_out) / n_calls,
         late_refusals=measures.n_late_refusals,
-        lost=measures.n_lost,
+        lost=measures.n_lost_streams,
         smallest_share=smallest,
         run_seconds=run_seconds,
     )
 
 
 def _smallest_share(case: Case, measures: Measures) -> float:
-    """Return what the smallest organisation is served of what it is due.
+    """Return the share of its due tokens that the smallest organisation is served.
 
-    Due is what it asks, or an even share of capacity where it asks for more: lengths
-    have heavy tails, and by chance one asks for far more than on average.
+    An organisation is due what it offers, at most an even share of capacity. The limit
+    is needed because lengths have heavy tails, so that an organisation may by chance
+    offer far more than on average. In the greedy case, the result is the smallest share
+    of any organisation but the greedy one.
     """
-    deployment = _deployment(case)
+    deployment = _scaled_deployment(case)
     seconds = deployment.seconds - deployment.warm_up - deployment.patience
-    even = case.capacity * seconds / N_ORGANISATIONS
+    n_even_share_tokens = case.capacity * seconds / N_ORGANISATIONS
     shares = [
-        measures.served[name] / min(n_tokens, even)
-        for name, n_tokens in sorted(measures.offered.items())
+        measures.n_served_tokens[name] / min(n_tokens, n_even_share_tokens)
+        for name, n_tokens in sorted(measures.n_offered_tokens.items())
         if name != "org0"
     ]
     return min(shares) if case.fault == "greedy" else shares[-1]
@@ -170,30 +173,30 @@
 
 def _quantiles(gaps: Counter[int], shares: tuple[float, ...]) -> list[float]:
     total = sum(gaps.values())
-    wanted = list(shares)
-    found: list[float] = []
-    n_passed = 0
+    remaining = list(shares)
+    quantiles: list[float] = []
+    n_gaps = 0
     for step, n in sorted(gaps.items()):
-        n_passed += n
-        while wanted and n_passed >= wanted[0] * total:
-            found.append(step * GAP_STEP)
-            wanted.pop(0)
-    return found + [0.0] * len(wanted)
+        n_gaps += n
+        while remaining and n_gaps >= remaining[0] * total:
+            quantiles.append(step * GAP_STEP_SECONDS)
+            remaining.pop(0)
+    return quantiles + [0.0] * len(remaining)
 
 
 def median(outcomes: list[Outcome], field: str) -> float:
-    """Return the median of a field over seeds."""
+    """Return the median of a field over the seeds."""
     return statistics.median(getattr(outcome, field) for outcome in outcomes)
 
 
 def spread(outcomes: list[Outcome], field: str) -> tuple[float, float]:
-    """Return the least and greatest of a field over seeds."""
+    """Return the smallest and largest value of a field over the seeds."""
     values = [getattr(outcome, field) for outcome in outcomes]
     return min(values), max(values)
 
 
 def as_json(outcomes: list[Outcome]) -> list[dict[str, object]]:
-    """Return the outcomes as plain data."""
+    """Return the outcomes as values that JSON can encode."""
     return [asdict(outcome) for outcome in outcomes]
 
 
--- a/bench/faults.py
+++ b/bench/faults.py
@@ -1,4 +1,8 @@
-"""What goes wrong in a bench run, and when."""
+"""Schedule faults in a bench run.
+
+A fault takes the simulation, the virtual time at which it starts and how many seconds
+the faulty part of the run lasts.
+"""
 
 from __future__ import annotations
 
@@ -7,66 +11,75 @@
 
 from bench.simulation import Simulation
 
-LEAVING_NOTICE = 10.0
-ENGINE_AWAY = 60.0
+LEAVING_NOTICE_SECONDS = 10.0
+ENGINE_DOWN_SECONDS = 60.0
 SLOW_FACTOR = 3.0
-HOME_EVERY = 60.0
+HOME_CHANGE_INTERVAL_SECONDS = 60.0
 
 
 def engine_lost(sim: Simulation, start: float, seconds: float) -> None:
-    """An engine dies without notice, and is back, empty, a minute later."""
+    """Fail an engine without notice and restart it, empty, a minute later."""
     engine = sim.engines["e0"]
-    sim.at(start, lambda: engine.die(sim.now))
-    sim.at(start + ENGINE_AWAY, partial(_restart, sim, "e0"))
+    sim.call_at(start, lambda: engine.fail(sim.now))
+    sim.call_at(start + ENGINE_DOWN_SECONDS, partial(_restart, sim, "e0"))
 
 
 def engine_reclaimed(sim: Simulation, start: float, seconds: float) -> None:
-    """An engine says that it leaves in ten seconds, and does."""
+    """Reclaim an engine ten seconds after it announces that it is leaving.
+
+    It restarts, empty, a minute later.
+    """
     engine = sim.engines["e0"]
 
     def announce() -> None:
-        engine.leaving_at = sim.now + LEAVING_NOTICE
+        engine.leaving_at = sim.now + LEAVING_NOTICE_SECONDS
 
-    sim.at(start, announce)
-    sim.at(start + LEAVING_NOTICE, lambda: engine.die(sim.now))
-    sim.at(start + LEAVING_NOTICE + ENGINE_AWAY, partial(_restart, sim, "e0"))
+    sim.call_at(start, announce)
+    sim.call_at(start + LEAVING_NOTICE_SECONDS, lambda: engine.fail(sim.now))
+    sim.call_at(
+        start + LEAVING_NOTICE_SECONDS + ENGINE_DOWN_SECONDS,
+        partial(_restart, sim, "e0"),
+    )
 
 
 def engine_slow(sim: Simulation, start: float, seconds: float) -> None:
-    """An engine's steps take three times as long for the middle of the run."""
+    """Slow an engine's steps by a factor of three during half of the faulty part."""
     engine = sim.engines["e0"]
 
-    def slow(factor: float) -> None:
-        engine.slowness = factor
+    def set_slowdown(factor: float) -> None:
+        engine.slowdown_factor = factor
+
+    sim.call_at(start, partial(set_slowdown, SLOW_FACTOR))
+    sim.call_at(start + seconds / 2, partial(set_slowdown, 1.0))
 
-    sim.at(start, partial(slow, SLOW_FACTOR))
-    sim.at(start + seconds / 2, partial(slow, 1.0))
 
+def engine_underreports(sim: Simulation, start: float, seconds: float) -> None:
+    """Make an engine report a tenth of its load, no queue and no preemptions.
 
-def engine_lies(sim: Simulation, start: float, seconds: float) -> None:
-    """An engine reports a tenth of its load and no preemptions."""
+    It does so during half of the faulty part.
+    """
     engine = sim.engines["e0"]
 
-    def lie(lies: bool) -> None:
-        engine.lies = lies
+    def set_underreporting(is_underreporting: bool) -> None:
+        engine.is_underreporting = is_underreporting
 
-    sim.at(start, partial(lie, True))
-    sim.at(start + seconds / 2, partial(lie, False))
+    sim.call_at(start, partial(set_underreporting, True))
+    sim.call_at(start + seconds / 2, partial(set_underreporting, False))
 
 
 def homes_move(sim: Simulation, start: float, seconds: float) -> None:
-    """The pool's home is replaced every minute by one that knows nothing."""
-    at = start
-    while at < start + seconds:
-        sim.at(at, sim.strategy.move_home)
-        at += HOME_EVERY
+    """Replace the pool's home by an empty one every minute."""
+    change_at = start
+    while change_at < start + seconds:
+        sim.call_at(change_at, sim.strategy.replace_home)
+        change_at += HOME_CHANGE_INTERVAL_SECONDS
 
 
 def _restart(sim: Simulation, name: str) -> None:
     engine = sim.engines[name]
     engine.restart()
-    engine.busy = False
-    sim.kick(engine)
+    engine.is_busy = False
+    sim.start_step(engine)
 
 
 Fault = Callable[[Simulation, float, float], None]
@@ -74,6 +87,6 @@
     "lost": engine_lost,
     "reclaimed": engine_reclaimed,
     "slow": engine_slow,
-    "lies": engine_lies,
+    "lies": engine_underreports,
     "homes": homes_move,
 }
--- a/bench/strategies.py
+++ b/bench/strategies.py
@@ -1,9 +1,10 @@
-"""Who decides in the bench: entry nodes alone, or a pool's home; all with node's code.
+"""Place streams in the bench: each entry node by itself, or the pool's home.
 
-Round robin, least reported and power of two let everything into the engines at once,
-as they do where no home can be reached: they have no queue, so they have no fairness
-and refuse nothing; callers give up when their patience ends. The oracle is the pool
-scheduler with an admission that knows every length and the true memory.
+All strategies use the code that nodes run. Round robin, least reported and power of two
+send every request to an engine at once, as entry nodes do when they can't reach a home.
+They have no queue, therefore no fairness and no refusals; callers cancel when their
+patience ends. The oracle is the pool scheduler with an admission policy that knows
+every output length and the engines' true memory.
 """
 
 from __future__ import annotations
@@ -31,20 +32,20 @@
 if TYPE_CHECKING:
     from bench.simulation import Simulation
 
-PROGRESS_EVERY = 0.5
-# Entry nodes batch the ends of streams for so long.
-END_BATCH = 0.05
-# Until entry nodes have noticed that a home has moved, seconds.
-HOME_NOTICED = (0.2, 1.0)
+PROGRESS_INTERVAL_SECONDS = 0.5
+# How long entry nodes collect ends of streams before they report them.
+END_BATCH_SECONDS = 0.05
+# Range of the time after which an entry node detects that the home has moved.
+HOME_DETECTION_SECONDS = (0.2, 1.0)
 
 
 @dataclass(kw_only=True, slots=True, eq=False)
 class Stream:
-    """A call on its way: what its entry node knows."""
+    """Holds what an entry node knows of a call that hasn't ended."""
 
     call: Call
     deadline: float
-    counted: bool
+    is_counted: bool
     state: str = "waiting"
     engine: str = ""
     grant_id: str = ""
@@ -54,11 +55,11 @@
 
     @property
     def stream_id(self) -> str:
-        """The request's id."""
+        """Return the request's id."""
         return f"r{self.call.number}"
 
     def request(self, n_max_tokens: int) -> AdmitRequest:
-        """Return what the entry node asks."""
+        """Return the request for admission that the entry node makes."""
         return AdmitRequest(
             request_id=self.stream_id,
             organisation=self.call.organisation,
@@ -72,62 +73,65 @@
 
 
 class Strategy(abc.ABC):
-    """Decides for a simulation."""
+    """Makes the placing decisions of a simulation."""
 
     def start(self, sim: Simulation) -> None:
-        """Begin."""
+        """Start to report progress from every entry node."""
         self.sim = sim
         for node in range(N_NODES):
-            sim.after(sim.rng.random() * PROGRESS_EVERY, partial(self._beat, node))
+            sim.call_later(
+                sim.rng.random() * PROGRESS_INTERVAL_SECONDS,
+                partial(self._report_progress, node),
+            )
 
     @abc.abstractmethod
-    def arrive(self, stream: Stream) -> None:
-        """Take in a call at its entry node."""
+    def on_arrival(self, stream: Stream) -> None:
+        """Handle a call that arrives at its entry node, or is placed once more."""
 
     @abc.abstractmethod
-    def ended(self, stream: Stream, n_tokens: int, end: str) -> None:
-        """Note a stream's end at its entry node."""
+    def on_end(self, stream: Stream, n_tokens: int, end: str) -> None:
+        """Record the end of a stream at its entry node."""
 
     @abc.abstractmethod
-    def progress(self, stream: Stream, n_tokens: int) -> None:
-        """Note a stream's progress, in an entry node's beat."""
+    def on_progress(self, stream: Stream, n_tokens: int) -> None:
+        """Record the progress of a stream; entry nodes report it periodically."""
 
     @abc.abstractmethod
-    def receivers(self) -> range:
-        """Return who polls the engines."""
+    def report_receivers(self) -> range:
+        """Return the numbers of the nodes that poll the engines."""
 
     @abc.abstractmethod
-    def receive(self, receiver: int, report: EngineReport, age: float) -> None:
-        """Take in a report."""
+    def on_report(self, receiver: int, report: EngineReport, age: float) -> None:
+        """Handle an engine's load report."""
 
     @abc.abstractmethod
-    def cache_event(self, engine: str, kind: str, prefix: str) -> None:
-        """Take in a cache event."""
+    def on_cache_event(self, engine: str, kind: str, prefix: str) -> None:
+        """Handle an engine's cache event."""
 
-    def move_home(self) -> None:  # noqa: B027
-        """Lose the home and go on with another; nothing where there is none."""
+    def replace_home(self) -> None:  # noqa: B027
+        """Replace the home by an empty one; do nothing for strategies without one."""
 
-    def _beat(self, node: int) -> None:
+    def _report_progress(self, node: int) -> None:
         sim = self.sim
-        sim.after(PROGRESS_EVERY, partial(self._beat, node))
+        sim.call_later(PROGRESS_INTERVAL_SECONDS, partial(self._report_progress, node))
         for stream in list(sim.streams.values()):
             if stream.call.node == node and stream.job is not None:
                 engine = sim.engines[stream.engine]
-                self.progress(stream, engine.n_tokens(stream.job))
+                self.on_progress(stream, engine.n_tokens(stream.job))
 
 
-class Alone(Strategy):
-    """Each entry node chooses by itself, and sends at once."""
+class EntryNodeStrategy(Strategy):
+    """Lets each entry node choose an engine by itself and send at once."""
 
     def __init__(self, *, policy: str, seed: int) -> None:
-        self._books = [EngineTracker() for _ in range(N_NODES)]
+        self._trackers = [EngineTracker() for _ in range(N_NODES)]
         self._lengths = [LearnedLengths() for _ in range(N_NODES)]
         self._policies = [
-            self._make(policy, random.Random(seed * 100 + node), node)
+            self._make_policy(policy, random.Random(seed * 100 + node), node)
             for node in range(N_NODES)
         ]
 
-    def _make(self, policy: str, rng: random.Random, node: int) -> RoutingPolicy:
+    def _make_policy(self, policy: str, rng: random.Random, node: int) -> RoutingPolicy:
         if policy == "round_robin":
             return RoundRobin()
         if policy == "least_reported":
@@ -135,85 +139,85 @@
         return PowerOfTwo(rng=rng, lengths=self._lengths[node])
 
     def start(self, sim: Simulation) -> None:
-        """Begin."""
+        """Give each node's tracker the engines."""
         super().start(sim)
-        for book in self._books:
-            book.set_engines(sim.specs, 0.0)
+        for tracker in self._trackers:
+            tracker.set_engines(sim.specs, 0.0)
 
-    def arrive(self, stream: Stream) -> None:
-        """Choose an engine and send."""
+    def on_arrival(self, stream: Stream) -> None:
+        """Choose an engine and send the stream to it."""
         sim, node = self.sim, stream.call.node
         if stream.state != "waiting":
             return
         req = stream.request(sim.deployment.n_max_tokens)
-        views = self._books[node].candidates(req, sim.now)
+        views = self._trackers[node].candidates(req, sim.now)
         view = self._policies[node].choose(views, req, sim.now)
         if view is None:
             sim.refuse(stream)
             return
         grant_id = f"{stream.stream_id}.{len(stream.excluded)}"
-        self._books[node].grant(grant_id, view.name, req, sim.now)
+        self._trackers[node].grant(grant_id, view.name, req, sim.now)
         sim.send(stream, view.name, grant_id)
 
-    def ended(self, stream: Stream, n_tokens: int, end: str) -> None:
-        """Strike it off the node's books."""
+    def on_end(self, stream: Stream, n_tokens: int, end: str) -> None:
+        """Remove the run from the node's tracker and record its length."""
         node, organisation = stream.call.node, stream.call.organisation
-        self._books[node].finish(stream.grant_id, self.sim.now)
+        self._trackers[node].finish(stream.grant_id, self.sim.now)
         if end != "not_run":
             self._lengths[node].end(
                 "m", organisation, n_tokens, is_censored=end != "answered"
             )
 
-    def progress(self, stream: Stream, n_tokens: int) -> None:
-        """Enter it in the node's books."""
+    def on_progress(self, stream: Stream, n_tokens: int) -> None:
+        """Record the progress in the node's tracker and length tables."""
         node, organisation = stream.call.node, stream.call.organisation
-        run = self._books[node].views[stream.engine].running.get(stream.grant_id)
+        run = self._trackers[node].views[stream.engine].running.get(stream.grant_id)
         n_before = run.n_tokens if run else n_tokens
         if n_tokens > n_before:
             self._lengths[node].advance("m", organisation, n_before, n_tokens)
-        self._books[node].progress(stream.grant_id, n_tokens, self.sim.now)
+        self._trackers[node].progress(stream.grant_id, n_tokens, self.sim.now)
 
-    def receivers(self) -> range:
-        """Every node polls."""
+    def report_receivers(self) -> range:
+        """Return all nodes, as each polls the engines."""
         return range(N_NODES)
 
-    def receive(self, receiver: int, report: EngineReport, age: float) -> None:
-        """Enter it in the node's books."""
-        self._books[receiver].report(report, self.sim.now, age=age)
+    def on_report(self, receiver: int, report: EngineReport, age: float) -> None:
+        """Record the report in the node's tracker."""
+        self._trackers[receiver].report(report, self.sim.now, age=age)
 
-    def cache_event(self, engine: str, kind: str, prefix: str) -> None:
-        """Ignore it."""
+    def on_cache_event(self, engine: str, kind: str, prefix: str) -> None:
+        """Ignore the event, as these policies don't use prefix affinity."""
 
 
-class Home(Strategy):
-    """One home runs the pool scheduler; entry nodes ask it, a hop away."""
+class HomeStrategy(Strategy):
+    """Runs the pool scheduler at one home, a hop away from the entry nodes."""
 
-    def __init__(self, *, seed: int, oracle: bool = False) -> None:
+    def __init__(self, *, seed: int, is_oracle: bool = False) -> None:
         self._seed = seed
-        self._oracle = oracle
+        self._is_oracle = is_oracle
         self._n_homes = 0
         self._poll_at: float | None = None
 
     def start(self, sim: Simulation) -> None:
-        """Begin."""
+        """Create the first home's scheduler."""
         super().start(sim)
         self.scheduler = self._new_scheduler()
 
-    def arrive(self, stream: Stream) -> None:
-        """Ask the home."""
+    def on_arrival(self, stream: Stream) -> None:
+        """Submit the request to the home after a hop."""
         if stream.state != "waiting":
             return
         stream.grant = None
-        self.sim.after(self.sim.hop(), partial(self._ask, stream))
+        self.sim.call_later(self.sim.draw_hop_seconds(), partial(self._submit, stream))
 
-    def ended(self, stream: Stream, n_tokens: int, end: str) -> None:
-        """Tell the home, in the next batch."""
+    def on_end(self, stream: Stream, n_tokens: int, end: str) -> None:
+        """Report the end to the home in the next batch."""
         grant_id = stream.grant_id
-        delay = END_BATCH * self.sim.rng.random() + self.sim.hop()
-        self.sim.after(delay, partial(self._finish, grant_id, n_tokens, end))
+        delay = END_BATCH_SECONDS * self.sim.rng.random() + self.sim.draw_hop_seconds()
+        self.sim.call_later(delay, partial(self._finish, grant_id, n_tokens, end))
 
-    def progress(self, stream: Stream, n_tokens: int) -> None:
-        """Tell the home, which may have to adopt it."""
+    def on_progress(self, stream: Stream, n_tokens: int) -> None:
+        """Report progress to the home, which adopts a run that it doesn't know."""
         scheduler, now = self.scheduler, self.sim.now
         if scheduler.progress(stream.grant_id, n_tokens, now):
             return
@@ -221,27 +225,27 @@
             req = stream.request(self.sim.deployment.n_max_tokens)
             scheduler.adopt(stream.grant, req, n_tokens, now)
 
-    def receivers(self) -> range:
-        """The home alone polls."""
+    def report_receivers(self) -> range:
+        """Return one receiver, as only the home polls the engines."""
         return range(1)
 
-    def receive(self, receiver: int, report: EngineReport, age: float) -> None:
-        """Hand it to the scheduler."""
+    def on_report(self, receiver: int, report: EngineReport, age: float) -> None:
+        """Pass the report to the scheduler and carry out its decisions."""
         self.scheduler.report(report, self.sim.now, age=age)
         self._poll()
 
-    def cache_event(self, engine: str, kind: str, prefix: str) -> None:
-        """Hand it to the scheduler."""
+    def on_cache_event(self, engine: str, kind: str, prefix: str) -> None:
+        """Pass the event to the scheduler."""
         self.scheduler.cache_event(engine, kind, prefix)
 
-    def move_home(self) -> None:
-        """Start a scheduler that knows nothing; entry nodes notice and ask again."""
+    def replace_home(self) -> None:
+        """Start an empty scheduler; entry nodes detect it and resubmit what waits."""
         sim = self.sim
         self.scheduler = self._new_scheduler()
         for stream in list(sim.streams.values()):
             if stream.state == "waiting" and stream.grant is None:
-                delay = sim.rng.uniform(*HOME_NOTICED)
-                sim.after(delay, partial(self._ask, stream))
+                delay = sim.rng.uniform(*HOME_DETECTION_SECONDS)
+                sim.call_later(delay, partial(self._submit, stream))
 
     def _new_scheduler(self) -> PoolScheduler:
         self._n_homes += 1
@@ -249,38 +253,40 @@
             model="m",
             home=f"n{self._n_homes}",
             rng=random.Random(self._seed * 1000 + self._n_homes),
-            admission=ExactPeak(sim=self.sim) if self._oracle else None,
+            admission=OracleAdmission(sim=self.sim) if self._is_oracle else None,
         )
         scheduler.set_engines(self.sim.specs, self.sim.now)
         return scheduler
 
-    def _ask(self, stream: Stream) -> None:
+    def _submit(self, stream: Stream) -> None:
         if stream.state != "waiting" or stream.grant is not None:
             return
         req = stream.request(self.sim.deployment.n_max_tokens)
-        self._carry_out(self.scheduler.submit(req, self.sim.now))
-        self._arm()
+        self._apply(self.scheduler.submit(req, self.sim.now))
+        self._arm_poll_timer()
 
     def _finish(self, grant_id: str, n_tokens: int, end: Any) -> None:
         self.scheduler.finish(grant_id, n_tokens, end, self.sim.now)
         self._poll()
 
     def _poll(self) -> None:
-        self._carry_out(self.scheduler.poll(self.sim.now))
-        self._arm()
-
-    def _arm(self) -> None:
-        due = self.scheduler.next_deadline()
-        if due is None or (self._poll_at is not None and self._poll_at <= due):
+        self._apply(self.scheduler.poll(self.sim.now))
+        self._arm_poll_timer()
+
+    def _arm_poll_timer(self) -> None:
+        deadline = self.scheduler.next_deadline()
+        if deadline is None or (
+            self._poll_at is not None and self._poll_at <= deadline
+        ):
             return
-        self._poll_at = max(due, self.sim.now)
-        self.sim.at(self._poll_at, self._on_timer)
+        self._poll_at = max(deadline, self.sim.now)
+        self.sim.call_at(self._poll_at, self._on_timer)
 
     def _on_timer(self) -> None:
         self._poll_at = None
         self._poll()
 
-    def _carry_out(self, decisions: list[Decision]) -> None:
+    def _apply(self, decisions: list[Decision]) -> None:
         sim = self.sim
         for decision in decisions:
             stream = sim.streams.get(decision.request_id)
@@ -290,51 +296,55 @@
                 stream.grant = decision.grant
                 grant = decision.grant
                 send = partial(sim.send, stream, grant.engine, grant.grant_id)
-                sim.after(sim.hop(), send)
+                sim.call_later(sim.draw_hop_seconds(), send)
             else:
-                sim.after(sim.hop(), partial(sim.refuse, stream))
+                sim.call_later(sim.draw_hop_seconds(), partial(sim.refuse, stream))
 
 
-class ExactPeak(AdmissionPolicy):
-    """The oracle's admission: exact lengths and the engine's true state."""
+class OracleAdmission(AdmissionPolicy):
+    """Admits by exact output lengths and the engine's true state, for the oracle."""
 
     def __init__(self, *, sim: Simulation) -> None:
         self._sim = sim
 
     def headroom(self, view: EngineView, req: AdmitRequest, now: float) -> float:
-        """Return the share of memory left at the true peak."""
+        """Return the share of the engine's memory that is free at the true peak."""
         engine = self._sim.engines[view.name]
-        grants = set(view.running)
-        held = []
+        unseen_grant_ids = set(view.running)
+        lengths = []
         for job in engine.jobs.values():
-            grants.discard(job.generation_id)
+            unseen_grant_ids.discard(job.generation_id)
             n_done = engine.n_tokens(job)
-            held.append((job.n_output_tokens - n_done, job.n_prompt_tokens + n_done))
-        for grant_id in (*grants, req.request_id):
+            lengths.append((job.n_output_tokens - n_done, job.n_prompt_tokens + n_done))
+        for grant_id in (*unseen_grant_ids, req.request_id):
             stream = self._sim.streams.get(grant_id.split(".")[0])
             if stream is not None:
                 call = stream.call
-                held.append((call.n_output_tokens, call.n_prompt_tokens))
-        held.sort(reverse=True)
-        peak = n_held = 0
-        for n_running, (residual, n_tokens) in enumerate(held, start=1):
-            n_held += n_tokens
-            peak = max(peak, n_held + n_running * residual)
-        n_memory = 0.98 * engine.n_memory_tokens
-        return (n_memory - peak) / n_memory
+                lengths.append((call.n_output_tokens, call.n_prompt_tokens))
+        # When a run ends, every run that lasts as long or longer has grown by the run's
+        # residual length. Memory use peaks at one of these moments.
+        lengths.sort(reverse=True)
+        n_peak_tokens = n_held_tokens = 0
+        for n_running, (n_residual_tokens, n_tokens) in enumerate(lengths, start=1):
+            n_held_tokens += n_tokens
+            n_peak_tokens = max(
+                n_peak_tokens, n_held_tokens + n_running * n_residual_tokens
+            )
+        n_usable_tokens = 0.98 * engine.n_memory_tokens
+        return (n_usable_tokens - n_peak_tokens) / n_usable_tokens
 
     def granted(self, view: EngineView, req: AdmitRequest, now: float) -> None:
-        """Do nothing: the truth needs no notes."""
+        """Do nothing, as the engine's true state already has the run."""
 
     def observe(self, view: EngineView) -> None:
-        """Do nothing: it needs no margin."""
+        """Do nothing, as exact lengths need no learned margin."""
 
 
 POLICIES = ("round_robin", "least_reported", "power_of_two", "ours", "oracle")
 
 
 def make_strategy(policy: str, seed: int) -> Strategy:
-    """Return the strategy of a name in `POLICIES`."""
+    """Return a new strategy for a name in `POLICIES`."""
     if policy in ("ours", "oracle"):
-        return Home(seed=seed, oracle=policy == "oracle")
-    return Alone(policy=policy, seed=seed)
+        return HomeStrategy(seed=seed, is_oracle=policy == "oracle")
+    return EntryNodeStrategy(policy=policy, seed=seed)
--- a/bench/workloads.py
+++ b/bench/workloads.py
@@ -1,9 +1,10 @@
-"""What callers ask for in the bench: two deployments and their length distributions.
+"""Describe the bench's deployments and generate their callers' requests.
 
-Bodies are lognormal with a Pareto tail. That output lengths and their bursts are
-heavy-tailed is reported for the BurstGPT trace (Wang et al., 2024) and the Azure
-traces of Splitwise (Patel et al., 2024); the parameters here are our own, set to the
-brief's words (a page to dozens of pages; short answers with bursts).
+Two deployments have lognormal lengths, partly with a Pareto tail; a third one has
+another family of distributions. Heavy-tailed output lengths and bursts are reported for
+the BurstGPT trace (Wang et al., 2024) and the Azure traces of Splitwise (Patel et al.,
+2024). The parameters aren't taken from these traces. They describe drafts of one page
+to dozens of pages (`OFFICE`) and short answers with bursts (`CIRANDA`).
 """
 
 from __future__ import annotations
@@ -13,46 +14,48 @@
 from collections.abc import Callable, Iterator
 from dataclasses import dataclass
 
-Sampler = Callable[[random.Random], int]
+LengthSampler = Callable[[random.Random], int]
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
-class Kind:
-    """A kind of request: how common it is, and how long prompt and output are."""
+class RequestKind:
+    """Describes a kind of request: its share of all calls and its lengths in tokens."""
 
     share: float
-    n_prompt: Sampler
-    n_output: Sampler
+    n_prompt: LengthSampler
+    n_output: LengthSampler
     n_prefix: int
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Deployment:
-    """A user's pool and its callers.
+    """Describes a user's pool and its callers.
 
     Parameters
     ----------
     name : str
         Its name.
     n_engines, n_memory_tokens, n_batch : int
-        The engines, their memory in tokens and their largest batch.
-    kinds : tuple of Kind
-        What is asked.
+        The number of engines, and for each its memory in tokens and largest batch.
+    kinds : tuple of RequestKind
+        The kinds of requests that callers make.
     shares : tuple of float
         Each organisation's share of the requests, the smallest last.
     patience : float
-        Seconds a caller waits for its turn.
+        Seconds a caller waits in the queue.
     burst : float
-        Factor by which arrivals rise in a burst; 1 for none.
+        Factor by which the rate of arrivals rises in a burst; 1 for no bursts.
     seconds, warm_up : float
-        How long a run is, and how much of it isn't counted.
+        Length of a run in seconds, and the part at its start that isn't measured.
+    n_max_tokens : int
+        The largest output that each request allows.
     """
 
     name: str
     n_engines: int
     n_memory_tokens: int
     n_batch: int
-    kinds: tuple[Kind, ...]
+    kinds: tuple[RequestKind, ...]
     shares: tuple[float, ...]
     patience: float
     burst: float
@@ -63,10 +66,10 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Call:
-    """One caller's request, with the length that only the oracle may know."""
+    """Holds a caller's request and its output length, which only the oracle may use."""
 
     number: int
-    at: float
+    arrives_at: float
     organisation: str
     node: int
     n_prompt_tokens: int
@@ -75,8 +78,8 @@
     n_prefix_tokens: int
 
 
-def lognormal(median: float, sigma: float, low: int, high: int) -> Sampler:
-    """Return a sampler of a bounded lognormal."""
+def lognormal(median: float, sigma: float, low: int, high: int) -> LengthSampler:
+    """Return a sampler of a bounded lognormal distribution."""
 
     def sample(rng: random.Random) -> int:
         value = rng.lognormvariate(math.log(median), sigma)
@@ -85,8 +88,8 @@
     return sample
 
 
-def with_tail(body: Sampler, share: float, start: float, alpha: float, high: int):  # type: ignore[no-untyped-def]
-    """Return a sampler that draws a share from a bounded Pareto tail."""
+def with_tail(body: LengthSampler, share: float, start: float, alpha: float, high: int):  # type: ignore[no-untyped-def]
+    """Return a sampler that draws a share of lengths from a bounded Pareto tail."""
 
     def sample(rng: random.Random) -> int:
         if rng.random() < share:
@@ -96,8 +99,11 @@
     return sample
 
 
-def weibull(scale: float, shape: float, low: int, high: int) -> Sampler:
-    """Return a sampler of a bounded Weibull; a shape under 1 is heavy-tailed."""
+def weibull(scale: float, shape: float, low: int, high: int) -> LengthSampler:
+    """Return a sampler of a bounded Weibull distribution.
+
+    A shape below 1 gives a heavy tail.
+    """
 
     def sample(rng: random.Random) -> int:
         return int(min(max(rng.weibullvariate(scale, shape), low), high))
@@ -111,7 +117,7 @@
     n_memory_tokens=48_000,
     n_batch=48,
     kinds=(
-        Kind(
+        RequestKind(
             share=0.55,
             n_prompt=lognormal(600, 0.5, 50, 4000),
             n_output=with_tail(
@@ -119,7 +125,7 @@
             ),
             n_prefix=400,
         ),
-        Kind(
+        RequestKind(
             share=0.45,
             n_prompt=lognormal(250, 0.5, 20, 2000),
             n_output=lognormal(150, 0.7, 5, 2000),
@@ -139,13 +145,13 @@
     n_memory_tokens=16_000,
     n_batch=48,
     kinds=(
-        Kind(
+        RequestKind(
             share=0.85,
             n_prompt=lognormal(300, 0.5, 30, 2000),
             n_output=with_tail(lognormal(160, 0.8, 5, 6000), 0.08, 500, 1.8, 6000),
             n_prefix=200,
         ),
-        Kind(
+        RequestKind(
             share=0.15,
             n_prompt=lognormal(800, 0.4, 100, 3000),
             n_output=lognormal(80, 0.4, 10, 400),
@@ -159,14 +165,15 @@
     warm_up=60.0,
     n_max_tokens=8_000,
 )
-# Never tuned on: another family of distributions, and no other kind beside it.
+# A held-out workload: no policy was tuned on it. It has another family of distributions
+# and a single kind of request.
 UNSEEN = Deployment(
     name="unseen",
     n_engines=6,
     n_memory_tokens=32_000,
     n_batch=48,
     kinds=(
-        Kind(
+        RequestKind(
             share=1.0,
             n_prompt=lognormal(400, 0.9, 20, 4000),
             n_output=weibull(500, 0.55, 3, 16_000),
@@ -183,7 +190,7 @@
 DEPLOYMENTS = {d.name: d for d in (OFFICE, CIRANDA, UNSEEN)}
 
 BURST_SECONDS = 8.0
-BURST_EVERY = 60.0
+BURST_INTERVAL_SECONDS = 60.0
 N_NODES = 12
 
 
@@ -192,12 +199,12 @@
     rng = random.Random(20_000)
     total = 0
     for _ in range(60_000):
-        kind = _pick(deployment.kinds, [k.share for k in deployment.kinds], rng)
+        kind = _draw(deployment.kinds, [k.share for k in deployment.kinds], rng)
         total += kind.n_output(rng)
     return total / 60_000
 
 
-def calls(
+def generate_calls(
     deployment: Deployment,
     *,
     rate: float,
@@ -205,40 +212,44 @@
     seconds: float,
     seed: int,
 ) -> Iterator[Call]:
-    """Yield the calls of a run in order; the same for every policy.
+    """Yield the calls of a run in order of arrival; the same for each policy.
 
     Parameters
     ----------
     deployment : Deployment
-        Who asks.
+        The pool and its callers.
     rate : float
-        Calls a second, on average over bursts and lulls.
+        Calls per second, on average over bursts and the time between them.
     shares : tuple of float
         Each organisation's share of the calls.
     seconds : float
-        How long calls come.
+        Length of the run.
     seed : int
-        Fixes all of them.
+        Seeds the calls.
     """
     rng = random.Random(seed)
     names = [f"org{i}" for i in range(len(shares))]
-    calm = rate / (1.0 + (deployment.burst - 1.0) * BURST_SECONDS / BURST_EVERY)
+    calm_rate = rate / (
+        1.0 + (deployment.burst - 1.0) * BURST_SECONDS / BURST_INTERVAL_SECONDS
+    )
     at, number = 0.0, 0
-    burst_at = rng.expovariate(1.0 / BURST_EVERY)
+    burst_at = rng.expovariate(1.0 / BURST_INTERVAL_SECONDS)
     while True:
         in_burst = deployment.burst > 1 and burst_at <= at < burst_at + BURST_SECONDS
         if at >= burst_at + BURST_SECONDS:
-            burst_at = at + rng.expovariate(1.0 / (BURST_EVERY - BURST_SECONDS))
-        at += rng.expovariate(calm * (deployment.burst if in_burst else 1.0))
+            burst_at = at + rng.expovariate(
+                1.0 / (BURST_INTERVAL_SECONDS - BURST_SECONDS)
+            )
+        at += rng.expovariate(calm_rate * (deployment.burst if in_burst else 1.0))
         if at >= seconds:
             return
         number += 1
-        kind = _pick(deployment.kinds, [k.share for k in deployment.kinds], rng)
-        organisation = _pick(names, list(shares), rng)
+        kind = _draw(deployment.kinds, [k.share for k in deployment.kinds], rng)
+        organisation = _draw(names, list(shares), rng)
         n_prompt = kind.n_prompt(rng)
         yield Call(
             number=number,
-            at=at,
+            arrives_at=at,
             organisation=organisation,
             node=rng.randrange(N_NODES),
             n_prompt_tokens=n_prompt,
@@ -248,5 +259,5 @@
         )
 
 
-def _pick(items, weights, rng):  # type: ignore[no-untyped-def]
+def _draw(items, weights, rng):  # type: ignore[no-untyped-def]
     return rng.choices(items, weights)[0]
