--- a/bench/__init__.py
+++ b/bench/__init__.py
@@ -1,1 +1,1 @@
-"""Measurements of the decisions and of what they cost."""
+"""Measure the quality of scheduling decisions and their cost."""
--- a/bench/barerelay.py
+++ b/bench/barerelay.py
@@ -1,7 +1,7 @@
-"""A relay with neither h11 nor checks, the other reference of `bench.relay`.
+"""Run a relay without h11 or any check, the second reference for `bench.relay`.
 
-It reads whatever an engine sends and writes as many bytes as an event has: what the
-sockets and asyncio cost alone. It is no way to serve anybody.
+For each read from an engine it writes as many bytes as an event has, which measures the
+cost of sockets and asyncio alone. It isn't meant to serve callers.
 """
 
 from __future__ import annotations
@@ -17,21 +17,21 @@
 _received = memoryview(bytearray(RECEIVE_BYTES))
 
 
-class _FromEngine(asyncio.BufferedProtocol):
-    """Asks an engine for a draft without end and writes an event for each read."""
+class _EngineProtocol(asyncio.BufferedProtocol):
+    """Requests a draft of a million tokens and writes an event for each read."""
 
     def __init__(self, caller: asyncio.Transport) -> None:
         self._caller = caller
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         assert isinstance(transport, asyncio.Transport)
-        order = {
+        body_fields = {
             "generation_id": f"g{id(self)}",
             "model": "draft",
             "prompt": "bare [length=1000000]",
             "n_max_tokens": 1_000_000,
         }
-        body = msgspec.json.encode(order)
+        body = msgspec.json.encode(body_fields)
         head = f"POST /generate HTTP/1.1\r\nhost: x\r\ncontent-length: {len(body)}"
         transport.write(head.encode() + b"\r\n\r\n" + body)
 
@@ -43,8 +43,8 @@
         self._caller.write(EVENT)
 
 
-class _FromCaller(asyncio.Protocol):
-    """Connects each caller to the engine."""
+class _CallerProtocol(asyncio.Protocol):
+    """Opens a connection to the engine for each caller."""
 
     def __init__(self, host: str, port: int) -> None:
         self._host = host
@@ -58,14 +58,14 @@
     async def _connect(self, caller: asyncio.Transport) -> None:
         loop = asyncio.get_running_loop()
         await loop.create_connection(
-            lambda: _FromEngine(caller), self._host, self._port
+            lambda: _EngineProtocol(caller), self._host, self._port
         )
 
 
 async def _serve(engine: str) -> None:
     host, _, port = engine.rpartition(":")
     server = await asyncio.get_running_loop().create_server(
-        lambda: _FromCaller(host, int(port)), "127.0.0.1", 0
+        lambda: _CallerProtocol(host, int(port)), "127.0.0.1", 0
     )
     own_port = server.sockets[0].getsockname()[1]
     print(f"listening 127.0.0.1:{own_port}", flush=True)
@@ -73,7 +73,7 @@
 
 
 def main(engine: str = typer.Option(..., help="IP:PORT of an engine.")) -> None:
-    """Relay bytes."""
+    """Write an event to a caller for each read from the engine."""
     asyncio.run(_serve(engine))
 
 
--- a/bench/configspread.py
+++ b/bench/configspread.py
@@ -1,9 +1,9 @@
-"""Measures how a version spreads over 330 nodes, on a clock that jumps ahead.
+"""Measure how a document version spreads over 330 nodes, in virtual time.
 
-Run it by ``python -m bench.configspread``. The nodes' own `ConfigSync` and
-`ObjectFetcher` talk over the network in memory; the platform's table and object store
-count what is read. Gossip is modelled: a node that put a version in force tells three
-others, drawn, within 0.2 s, as the real one does by its datagrams.
+Run it with ``python -m bench.configspread``. The nodes' own `ConfigSync` and
+`ObjectFetcher` communicate over an in-memory network; the platform's table and object
+store count reads. Gossip is modelled: a node that has applied a version announces it to
+three random nodes within 0.2 s, as real nodes do with their gossip datagrams.
 """
 
 from __future__ import annotations
@@ -38,15 +38,15 @@
 N_NODES = 330
 N_VERSIONS = 5
 N_ORGANISATIONS = 300
-N_TOLD = 3
-TELL_SECONDS = 0.2
-PLATFORM_SECONDS = 0.005
-BETWEEN_SECONDS = 20.0
+N_GOSSIP_PEERS = 3
+MAX_GOSSIP_DELAY_SECONDS = 0.2
+PLATFORM_DELAY_SECONDS = 0.005
+PUBLISH_INTERVAL_SECONDS = 20.0
 WARM_UP_SECONDS = 30.0
 
 
 class CountingPlatform(Table, ObjectStore):
-    """A head row and objects; counts what is read."""
+    """Holds a head row and objects, and counts the reads of each."""
 
     def __init__(self) -> None:
         self.head: Head | None = None
@@ -56,9 +56,9 @@
     async def read(
         self, keys: Sequence[str], deadline: float
     ) -> Result[Rows, Unavailable]:
-        """Return the head row."""
+        """Return the head row, if it is set, and count the read."""
         self.n_reads["head"] += 1
-        await asyncio.sleep(PLATFORM_SECONDS)
+        await asyncio.sleep(PLATFORM_DELAY_SECONDS)
         if self.head is None:
             return Ok({})
         value = msgspec.to_builtins(self.head)
@@ -67,13 +67,13 @@
     async def get(
         self, name: str, deadline: float
     ) -> Result[bytes | None, Unavailable]:
-        """Return an object."""
+        """Return an object, if it exists, and count the read."""
         self.n_reads["object"] += 1
-        await asyncio.sleep(PLATFORM_SECONDS)
+        await asyncio.sleep(PLATFORM_DELAY_SECONDS)
         return Ok(self.objects.get(name.removeprefix(OBJECT_PREFIX)))
 
     def publish(self, version: int, tree: Tree) -> None:
-        """Make a tree the newest version."""
+        """Store a tree's objects and make it the newest version."""
         for digest in tree.digests():
             self.objects[digest] = tree.get(digest) or b""
         self.head = Head(
@@ -99,25 +99,25 @@
         raise NotImplementedError
 
 
-class OpenAuth:
-    """Signs nothing and accepts all."""
+class AcceptAllAuth:
+    """Signs no requests and accepts each."""
 
     def headers(self, method: str, path: str, body: bytes) -> dict[str, str]:
-        """Return nothing."""
+        """Return no headers."""
         return {}
 
     def accepts(self, req: Request) -> bool:
-        """Accept all."""
+        """Accept each request."""
         return True
 
 
 class Fleet:
-    """All nodes, with modelled gossip.
+    """Runs the configuration of all nodes, with modelled gossip.
 
     Parameters
     ----------
     is_gossiping : bool
-        Whether nodes tell one another of versions.
+        Whether nodes announce versions to one another.
     """
 
     def __init__(self, *, is_gossiping: bool) -> None:
@@ -148,11 +148,11 @@
         rng = random.Random(1000 + number)
         metrics = Metrics(process=str(number))
         client = HttpClient(process=str(number), network=network)
-        others = [one for one in self._addresses if one != address]
+        others = [other for other in self._addresses if other != address]
         fetcher = ObjectFetcher(
             objects=self.platform,
             client=client,
-            auth=OpenAuth(),
+            auth=AcceptAllAuth(),
             peers=lambda: others,
             clock=self._clock,
             rng=rng,
@@ -162,7 +162,7 @@
             configuration=configuration,
             table=self.platform,
             fetcher=fetcher,
-            auth=OpenAuth(),
+            auth=AcceptAllAuth(),
             n_nodes=lambda: N_NODES,
             announce=lambda version, root: self._announce(version, root, address),
             clock=self._clock,
@@ -194,13 +194,13 @@
         if not self._is_gossiping:
             return
         loop = asyncio.get_running_loop()
-        for sync in self._rng.sample(self.syncs, N_TOLD):
-            delay = self._rng.uniform(0.0, TELL_SECONDS)
+        for sync in self._rng.sample(self.syncs, N_GOSSIP_PEERS):
+            delay = self._rng.uniform(0.0, MAX_GOSSIP_DELAY_SECONDS)
             loop.call_later(delay, sync.record_version, version, root, holder)
 
 
 async def measure(name: str, *, is_gossiping: bool) -> None:
-    """Publish versions one after the other and print how they spread."""
+    """Publish versions in sequence and print how fast and at what cost they spread."""
     fleet = Fleet(is_gossiping=is_gossiping)
     organisations = [OrganisationSpec(name=f"o{n}") for n in range(N_ORGANISATIONS)]
     fleet.platform.publish(1, Tree.of(Document(organisations=tuple(organisations))))
@@ -210,37 +210,39 @@
     fleet.platform.n_reads.clear()
     for fetcher in fleet.fetchers:
         fetcher.n_bytes_by_source.update(peer=0, platform=0)
-    times: list[float] = []
+    delays: list[float] = []
     started = loop.time()
     for version in range(2, 2 + N_VERSIONS):
         organisations[version] = OrganisationSpec(name=f"o{version}", priority=9)
         tree = Tree.of(Document(organisations=tuple(organisations)))
-        published = loop.time()
+        published_at = loop.time()
         fleet.platform.publish(version, tree)
-        await asyncio.sleep(BETWEEN_SECONDS)
-        reached = fleet.in_force_at[version]
-        assert len(reached) == N_NODES, f"{len(reached)} of {N_NODES} nodes"
-        times += [at - published for at in reached]
+        await asyncio.sleep(PUBLISH_INTERVAL_SECONDS)
+        applied_at = fleet.in_force_at[version]
+        assert len(applied_at) == N_NODES, f"{len(applied_at)} of {N_NODES} nodes"
+        delays += [at - published_at for at in applied_at]
     seconds = loop.time() - started
-    times.sort()
+    delays.sort()
     reads = fleet.platform.n_reads
     n_bytes = Counter[str]()
     for fetcher in fleet.fetchers:
         n_bytes.update(fetcher.n_bytes_by_source)
     print(f"{name}: {N_VERSIONS} versions to {N_NODES} nodes")
-    print(f"  in force after p50 {times[len(times) // 2]:.2f} s,", end=" ")
-    print(f"p99 {times[int(len(times) * 0.99)]:.2f} s, at most {times[-1]:.2f} s")
-    print(f"  head rows read a second: {reads['head'] / seconds:.1f}")
-    print(f"  objects read from the platform a version: {reads['object'] / N_VERSIONS}")
+    print(f"  in force after p50 {delays[len(delays) // 2]:.2f} s,", end=" ")
+    print(f"p99 {delays[int(len(delays) * 0.99)]:.2f} s, at most {delays[-1]:.2f} s")
+    print(f"  head rows read per second: {reads['head'] / seconds:.1f}")
+    print(
+        f"  objects read from the platform per version: {reads['object'] / N_VERSIONS}"
+    )
     print(f"  bytes from peers {n_bytes['peer']}, platform {n_bytes['platform']}")
     await fleet.stop()
 
 
 def main() -> None:
-    """Measure with gossip and without."""
+    """Measure with and without gossip."""
     for name, is_gossiping in (("gossip and polls", True), ("polls alone", False)):
         loop = looptime.new_event_loop()
-        # Nothing real is ever waited for here.
+        # All input and output is in memory, so the clock needn't wait for real sockets.
         loop.setup_looptime(start=0, noop_cycles=0)
         try:
             loop.run_until_complete(measure(name, is_gossiping=is_gossiping))
--- a/bench/configuration.py
+++ b/bench/configuration.py
@@ -1,9 +1,9 @@
-"""Measures the document at the size we design for: bytes shipped, memory, time.
+"""Measure transfer size, memory and time for a document of the design size.
 
-Run it by ``python -m bench.configuration``. A parent writes the objects of two versions
-to a temporary directory; a fresh child, with only what a node imports, brings both into
-force one after the other and reports its memory, the time and the longest time that its
-event loop stood still.
+Run it with ``python -m bench.configuration``. The parent process writes the objects of
+two versions to a temporary directory. A new child process, which imports only what a
+node imports, applies both in order and reports its memory, the time taken and the
+longest time that its event loop was blocked.
 """
 
 from __future__ import annotations
@@ -55,12 +55,12 @@
 N_ADAPTERS = 62
 N_REGIONS = 6
 N_FAILURE_DOMAINS = 15
-N_CHANGES_A_DAY = 9_200
-SECONDS_A_DAY = 86_400
+N_CHANGES_PER_DAY = 9_200
+SECONDS_PER_DAY = 86_400
 
 
 def make_document() -> Document:
-    """Return a document of the size we design for."""
+    """Return a document of the design size."""
     models = [f"model-{number:02}" for number in range(N_MODELS)]
     return Document(
         models=tuple(ModelSpec(name=name, version="v1") for name in models),
@@ -105,15 +105,15 @@
     )
 
 
-def change_one(document: Document) -> Document:
-    """Return the document with one organisation changed."""
+def change_one_organisation(document: Document) -> Document:
+    """Return a copy of the document with one organisation changed."""
     first, *rest = document.organisations
     changed = dataclasses.replace(first, priority=9)
     return dataclasses.replace(document, organisations=(changed, *rest))
 
 
 class DirectoryObjects(ObjectStore):
-    """Objects as files, so that the child's memory holds none of them."""
+    """Stores objects as files, so that they don't count in the child's memory."""
 
     def __init__(self, *, directory: Path) -> None:
         self._directory = directory
@@ -121,20 +121,20 @@
     async def put(
         self, name: str, data: bytes, deadline: float
     ) -> Result[None, Unavailable]:
-        """Write a file."""
+        """Write an object to its file."""
         (self._directory / name.removeprefix(OBJECT_PREFIX)).write_bytes(data)
         return Ok(None)
 
     async def get(
         self, name: str, deadline: float
     ) -> Result[bytes | None, Unavailable]:
-        """Read a file."""
+        """Read an object from its file."""
         await asyncio.sleep(0)
         return Ok((self._directory / name.removeprefix(OBJECT_PREFIX)).read_bytes())
 
 
-class HeadTable(Table):
-    """A table with nothing but a head row."""
+class HeadOnlyTable(Table):
+    """Serves a table that has only a head row."""
 
     def __init__(self) -> None:
         self.head: Head | None = None
@@ -148,7 +148,7 @@
     async def read(
         self, keys: Sequence[str], deadline: float
     ) -> Result[Rows, Unavailable]:
-        """Return the head row."""
+        """Return the head row, if it is set."""
         if self.head is None:
             return Ok({})
         value = msgspec.to_builtins(self.head)
@@ -161,23 +161,23 @@
         raise NotImplementedError
 
 
-class NoAuth:
-    """Signs nothing; no peer is asked here."""
+class NullAuth:
+    """Signs no requests, as no peer is queried here."""
 
     def headers(self, method: str, path: str, body: bytes) -> dict[str, str]:
-        """Return nothing."""
+        """Return no headers."""
         return {}
 
     def accepts(self, req: Request) -> bool:
-        """Refuse all."""
+        """Refuse each request."""
         return False
 
 
-class Gaps:
-    """Finds the longest time between two turns of the event loop, in seconds."""
+class LoopGapMeter:
+    """Measures the longest time between two iterations of the event loop."""
 
     def __init__(self) -> None:
-        self.longest = 0.0
+        self.longest_seconds = 0.0
         self._task = asyncio.get_running_loop().create_task(self._watch())
 
     async def _watch(self) -> None:
@@ -185,30 +185,30 @@
         while True:
             await asyncio.sleep(0)
             now = time.perf_counter()
-            self.longest = max(self.longest, now - last)
+            self.longest_seconds = max(self.longest_seconds, now - last)
             last = now
 
-    def take(self) -> float:
-        """Return the longest so far and begin anew."""
-        longest, self.longest = self.longest, 0.0
+    def reset(self) -> float:
+        """Return the longest gap in seconds and start over from zero."""
+        longest, self.longest_seconds = self.longest_seconds, 0.0
         return longest
 
     def stop(self) -> None:
-        """Stop watching."""
+        """Stop measuring."""
         self._task.cancel()
 
 
 def resident_bytes() -> int:
-    """Return this process's resident memory."""
+    """Return the resident memory of this process, in bytes."""
     for line in Path("/proc/self/status").read_text().splitlines():
         if line.startswith("VmRSS:"):
             return int(line.split()[1]) * 1024
-    raise RuntimeError("no VmRSS")
+    raise RuntimeError("/proc/self/status has no VmRSS line")
 
 
-async def child(directory: Path, roots: list[str]) -> None:
-    """Bring versions into force and print what that cost."""
-    table = HeadTable()
+async def run_child(directory: Path, roots: list[str]) -> None:
+    """Apply versions in order and print time, memory and bytes fetched."""
+    table = HeadOnlyTable()
     configuration = Configuration()
     freeze_documents(configuration)
     applied = asyncio.Event()
@@ -217,7 +217,7 @@
     fetcher = ObjectFetcher(
         objects=DirectoryObjects(directory=directory),
         client=HttpClient(process="bench"),
-        auth=NoAuth(),
+        auth=NullAuth(),
         peers=lambda: [],
         clock=clock,
         rng=rng,
@@ -227,7 +227,7 @@
         configuration=configuration,
         table=table,
         fetcher=fetcher,
-        auth=NoAuth(),
+        auth=NullAuth(),
         n_nodes=lambda: 330,
         announce=lambda version, root: None,
         clock=clock,
@@ -235,57 +235,63 @@
         metrics=metrics,
     )
     gc.collect()
-    before = resident_bytes()
+    resident_before = resident_bytes()
     await sync.start()
     for version, root in enumerate(roots, 1):
-        gaps = Gaps()
-        n_bytes, cpu = fetcher.n_bytes_by_source["platform"], time.process_time()
+        gap_meter = LoopGapMeter()
+        n_bytes, cpu_before = (
+            fetcher.n_bytes_by_source["platform"],
+            time.process_time(),
+        )
         started = time.perf_counter()
         sync.record_version(version, root, is_accepted=True)
         await applied.wait()
         applied.clear()
         seconds = time.perf_counter() - started
-        # The watcher itself spins, so processor time is the wall time at most.
-        processor = time.process_time() - cpu
+        # The gap meter runs in each loop iteration, so that processor time is close to
+        # wall time, which is its upper bound.
+        cpu_seconds = time.process_time() - cpu_before
         n_bytes = fetcher.n_bytes_by_source["platform"] - n_bytes
         print(f"version {version}: {n_bytes} bytes fetched, {seconds * 1000:.0f} ms")
-        print(f"  longest stand-still {gaps.take() * 1000:.1f} ms")
-        print(f"  processor {processor * 1000:.0f} ms")
-        gaps.stop()
+        print(f"  longest block of the event loop {gap_meter.reset() * 1000:.1f} ms")
+        print(f"  processor {cpu_seconds * 1000:.0f} ms")
+        gap_meter.stop()
         started = time.perf_counter()
         gc.collect()
-        collected = time.perf_counter() - started
-        print(f"  a full collection takes {collected * 1000:.1f} ms")
-        more = (resident_bytes() - before) / 1e6
-        print(f"version {version}: resident memory {more:.1f} MB above the start")
-    print(f"resident at the start {before / 1e6:.1f} MB")
+        collection_seconds = time.perf_counter() - started
+        print(f"  a full collection takes {collection_seconds * 1000:.1f} ms")
+        added_mb = (resident_bytes() - resident_before) / 1e6
+        print(f"version {version}: resident memory {added_mb:.1f} MB above the start")
+    print(f"resident at the start {resident_before / 1e6:.1f} MB")
     await sync.stop()
 
 
-def parent() -> None:
-    """Write two versions and measure a child that takes them."""
+def run_parent() -> None:
+    """Write two versions, measure them and start a child that applies them."""
     document = make_document()
     started = time.perf_counter()
-    trees = [Tree.of(document), Tree.of(change_one(document))]
-    split = (time.perf_counter() - started) / 2
+    trees = [Tree.of(document), Tree.of(change_one_organisation(document))]
+    split_seconds = (time.perf_counter() - started) / 2
     started = time.perf_counter()
     n_findings = sum(len(step) for step in findings_in_steps(document))
-    checked = time.perf_counter() - started
-    whole = encode(document)
-    new = set(trees[1].digests()) - set(trees[0].digests())
-    shipped = sum(len(trees[1].get(digest) or b"") for digest in new)
-    a_second = shipped * N_CHANGES_A_DAY / SECONDS_A_DAY
-    print(f"whole document {len(whole)} bytes; split in {split * 1000:.0f} ms")
-    print(f"checked in {checked * 1000:.0f} ms with {n_findings} findings")
-    print(f"one organisation changed: {len(new)} objects, {shipped} bytes;")
-    print(f"  {N_CHANGES_A_DAY} such changes a day are {a_second:.0f} bytes a second")
+    check_seconds = time.perf_counter() - started
+    encoded = encode(document)
+    new_digests = set(trees[1].digests()) - set(trees[0].digests())
+    n_shipped = sum(len(trees[1].get(digest) or b"") for digest in new_digests)
+    byte_rate = n_shipped * N_CHANGES_PER_DAY / SECONDS_PER_DAY
+    print(
+        f"whole document {len(encoded)} bytes; split in {split_seconds * 1000:.0f} ms"
+    )
+    print(f"checked in {check_seconds * 1000:.0f} ms with {n_findings} findings")
+    print(f"one organisation changed: {len(new_digests)} objects, {n_shipped} bytes;")
+    print(f"  {N_CHANGES_PER_DAY} such changes per day are {byte_rate:.0f} bytes/s")
     tracemalloc.start()
-    held = msgspec.json.decode(whole, type=Document)
+    decoded = msgspec.json.decode(encoded, type=Document)
     print(
         f"decoded whole: {tracemalloc.get_traced_memory()[0] / 1e6:.1f} MB of objects"
     )
     tracemalloc.stop()
-    del held
+    del decoded
     with tempfile.TemporaryDirectory() as name:
         for tree in trees:
             for digest in tree.digests():
@@ -297,6 +303,6 @@
 
 if __name__ == "__main__":
     if len(sys.argv) > 1:
-        asyncio.run(child(Path(sys.argv[1]), sys.argv[2:]))
+        asyncio.run(run_child(Path(sys.argv[1]), sys.argv[2:]))
     else:
-        parent()
+        run_parent()
--- a/bench/relay.py
+++ b/bench/relay.py
@@ -1,10 +1,10 @@
-"""What a relayed token costs a node: ``make bench-relay``.
+"""Measure what a relayed token costs a node: ``make bench-relay``.
 
-The floor is h11's own work for a token: receiving the chunk with the engine's line
-and sending the chunk with the caller's event. The measure is the processor time of a
-real relay process (user and system) for each token that callers received, with
-stand-in engines and callers in other processes. Both come from one run, so that their
-ratio does not depend on how fast the machine is.
+The cost is the processor time (user and system) of a real relay process divided by the
+tokens that callers received; stand-in engines and callers run in other processes. The
+floor is h11's own work for a token: receiving the chunk with the engine's line and
+sending the chunk with the caller's event. Both are measured in one run, so that their
+ratio doesn't depend on the speed of the machine.
 """
 
 from __future__ import annotations
@@ -23,35 +23,37 @@
 from .relayprocess import KEY, MODEL
 
 N_ENGINES = 3
-FLOOR_TOKENS = 20_000
+N_FLOOR_TOKENS = 20_000
 SETTLE_SECONDS = 3.0
-LINE = b'{"offset":123,"token":"w123-ab1f76 "}\n'
+ENGINE_LINE = b'{"offset":123,"token":"w123-ab1f76 "}\n'
 MIB = 1024 * 1024
 
 
-def h11_floor(event_bytes: int) -> float:
-    """Return the microseconds h11 takes to receive a line and send an event."""
-    engine, here = h11.Connection(h11.SERVER), h11.Connection(h11.CLIENT)
-    head = here.send(h11.Request(method="GET", target="/", headers=[("host", "x")]))
+def measure_h11_floor(event_bytes: int) -> float:
+    """Return the microseconds that h11 takes to receive a line and send an event."""
+    engine, relay_side = h11.Connection(h11.SERVER), h11.Connection(h11.CLIENT)
+    head = relay_side.send(
+        h11.Request(method="GET", target="/", headers=[("host", "x")])
+    )
     engine.receive_data(head or b"")
     engine.next_event()
     engine.next_event()
-    here.send(h11.EndOfMessage())
-    answer = h11.Response(status_code=200, headers=[("transfer-encoding", "chunked")])
-    here.receive_data(engine.send(answer) or b"")
-    here.next_event()
-    chunk = engine.send(h11.Data(data=LINE)) or b""
+    relay_side.send(h11.EndOfMessage())
+    response = h11.Response(status_code=200, headers=[("transfer-encoding", "chunked")])
+    relay_side.receive_data(engine.send(response) or b"")
+    relay_side.next_event()
+    chunk = engine.send(h11.Data(data=ENGINE_LINE)) or b""
     event = h11.Data(data=b"x" * event_bytes)
     started = time.process_time()
-    for _ in range(FLOOR_TOKENS):
-        here.receive_data(chunk)
-        while here.next_event() is not h11.NEED_DATA:
+    for _ in range(N_FLOOR_TOKENS):
+        relay_side.receive_data(chunk)
+        while relay_side.next_event() is not h11.NEED_DATA:
             pass
         engine.send(event)
-    return (time.process_time() - started) / FLOOR_TOKENS * 1e6
+    return (time.process_time() - started) / N_FLOOR_TOKENS * 1e6
 
 
-class Reader(asyncio.Protocol):
+class StreamCaller(asyncio.Protocol):
     """One caller: it asks for a long draft and counts the bytes and events."""
 
     n_events = 0
@@ -61,7 +63,7 @@
         self._number = number
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Ask."""
+        """Send a request for a stream of a million tokens."""
         assert isinstance(transport, asyncio.Transport)
         body = msgspec.json.encode(
             {
@@ -77,28 +79,28 @@
         transport.write(head.encode() + body)
 
     def data_received(self, data: bytes) -> None:
-        """Count."""
-        Reader.n_events += data.count(b"\ndata: ")
-        Reader.n_bytes += len(data)
+        """Count the events and bytes received."""
+        StreamCaller.n_events += data.count(b"\ndata: ")
+        StreamCaller.n_bytes += len(data)
 
 
 class Processes:
-    """The processes that this bench starts, and ends by their ids."""
+    """Starts processes and terminates those that it started."""
 
     def __init__(self) -> None:
         self._started: list[subprocess.Popen[str]] = []
 
-    def start(self, *words: str) -> tuple[int, str]:
-        """Start a module; returns its process id and the address it listens on."""
+    def start(self, *arguments: str) -> tuple[int, str]:
+        """Start a module; return its process id and the address that it listens on."""
         process = subprocess.Popen(
-            [sys.executable, "-m", *words], stdout=subprocess.PIPE, text=True
+            [sys.executable, "-m", *arguments], stdout=subprocess.PIPE, text=True
         )
         self._started.append(process)
         assert process.stdout is not None
         return process.pid, process.stdout.readline().split()[1]
 
-    def end(self) -> None:
-        """End them all."""
+    def terminate(self) -> None:
+        """Terminate all started processes and wait for them to exit."""
         for process in self._started:
             process.terminate()
         for process in self._started:
@@ -106,8 +108,11 @@
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
-class Measured:
-    """What a relay process used: for each token, and resident."""
+class RelayUsage:
+    """Holds what a relay process used.
+
+    Microseconds of processor time and bytes sent are per token; memory is resident.
+    """
 
     microseconds: float
     n_bytes: float
@@ -116,13 +121,15 @@
     idle_mib: float = 0.0
 
 
-async def _measure(pid: int, address: str, n_streams: int, seconds: float) -> Measured:
+async def _measure(
+    pid: int, address: str, n_streams: int, seconds: float
+) -> RelayUsage:
     host, _, port = address.rpartition(":")
     loop = asyncio.get_running_loop()
     transports = []
     for number in range(n_streams):
         transport, _ = await loop.create_connection(
-            lambda number=number: Reader(number),  # type: ignore[misc]
+            lambda number=number: StreamCaller(number),  # type: ignore[misc]
             host,
             int(port),
         )
@@ -131,75 +138,95 @@
             await asyncio.sleep(0.1)
     await asyncio.sleep(SETTLE_SECONDS)
     process = psutil.Process(pid)
-    before, events, n_bytes = process.cpu_times(), Reader.n_events, Reader.n_bytes
+    before, n_events_before, n_bytes_before = (
+        process.cpu_times(),
+        StreamCaller.n_events,
+        StreamCaller.n_bytes,
+    )
     started = loop.time()
     await asyncio.sleep(seconds)
     elapsed = loop.time() - started
     after = process.cpu_times()
-    n_tokens = max(1, Reader.n_events - events)
+    n_tokens = max(1, StreamCaller.n_events - n_events_before)
     cpu = after.user + after.system - before.user - before.system
     resident = process.memory_info().rss / MIB
     for transport in transports:
         transport.abort()
-    return Measured(
+    return RelayUsage(
         microseconds=cpu / n_tokens * 1e6,
-        n_bytes=(Reader.n_bytes - n_bytes) / n_tokens,
+        n_bytes=(StreamCaller.n_bytes - n_bytes_before) / n_tokens,
         tokens_per_second=n_tokens / elapsed,
         mib=resident,
     )
 
 
-def _start_engines(processes: Processes, pace: float) -> list[str]:
+def _start_engines(
+    processes: Processes, tokens_per_second_per_stream: float
+) -> list[str]:
     addresses = []
     for number in range(N_ENGINES):
         _, address = processes.start(
             "standins.engine",
             f"--name=e{number}",
-            f"--tokens-per-second={pace}",
+            f"--tokens-per-second={tokens_per_second_per_stream}",
             "--memory-tokens=1000000000",
         )
         addresses.append(address)
     return addresses
 
 
-def _run(words: list[str], n_streams: int, pace: float, seconds: float) -> Measured:
-    """Measure one relay process before fresh engines."""
+def _run(
+    arguments: list[str],
+    n_streams: int,
+    tokens_per_second_per_stream: float,
+    seconds: float,
+) -> RelayUsage:
+    """Measure one relay process with newly started engines."""
     processes = Processes()
     try:
-        engines = _start_engines(processes, pace)
-        if words[0] == "bench.barerelay":
+        engines = _start_engines(processes, tokens_per_second_per_stream)
+        if arguments[0] == "bench.barerelay":
             engines = engines[:1]
         options = [f"--engine={address}" for address in engines]
-        pid, address = processes.start(*words, *options)
+        pid, address = processes.start(*arguments, *options)
         idle = psutil.Process(pid).memory_info().rss / MIB
         measured = asyncio.run(_measure(pid, address, n_streams, seconds))
         return replace(measured, idle_mib=idle)
     finally:
-        processes.end()
+        processes.terminate()
 
 
 def main(
-    seconds: float = typer.Option(10.0, help="Seconds of each measurement."),
-    tokens_per_second: float = typer.Option(30.0, help="Of each stream, at 100."),
+    seconds: float = typer.Option(
+        10.0, help="Duration of each measurement in seconds."
+    ),
+    tokens_per_second: float = typer.Option(
+        30.0, help="Token rate of each stream with 100 streams."
+    ),
 ) -> None:
     """Measure the relay and print a table.
 
-    floor: h11 alone; bare: sockets and asyncio alone, without h11 or any check.
+    The column floor is for h11 alone; bare is for sockets and asyncio alone, without
+    h11 or any check.
     """
     print("streams tokens/s  us/token  floor   bare  us/floor  us/(floor+bare)  MiB")
     for n_streams in (100, 1_000):
-        # The same tokens a second in all, so that 1,000 streams show what streams
-        # cost and not a processor that is full.
-        pace = tokens_per_second * 100 / n_streams
-        bare = _run(["bench.barerelay"], n_streams, pace, seconds)
-        ours = _run(["bench.relayprocess"], n_streams, pace, seconds)
-        floor = h11_floor(round(ours.n_bytes))
+        # The total token rate is the same for both numbers of streams, so that 1,000
+        # streams show the cost of streams and not that of a saturated processor.
+        tokens_per_second_per_stream = tokens_per_second * 100 / n_streams
+        bare = _run(
+            ["bench.barerelay"], n_streams, tokens_per_second_per_stream, seconds
+        )
+        relay = _run(
+            ["bench.relayprocess"], n_streams, tokens_per_second_per_stream, seconds
+        )
+        floor = measure_h11_floor(round(relay.n_bytes))
         print(
-            f"{n_streams:7} {ours.tokens_per_second:8.0f}  {ours.microseconds:8.1f}"
+            f"{n_streams:7} {relay.tokens_per_second:8.0f}  {relay.microseconds:8.1f}"
             f"  {floor:5.1f}  {bare.microseconds:5.1f}"
-            f"  {ours.microseconds / floor:8.2f}"
-            f"  {ours.microseconds / (floor + bare.microseconds):15.2f}"
-            f"  {ours.idle_mib:.1f} idle, {ours.mib:.1f}"
+            f"  {relay.microseconds / floor:8.2f}"
+            f"  {relay.microseconds / (floor + bare.microseconds):15.2f}"
+            f"  {relay.idle_mib:.1f} idle, {relay.mib:.1f}"
         )
 
 
--- a/bench/relayprocess.py
+++ b/bench/relayprocess.py
@@ -1,7 +1,8 @@
-"""A process that relays tokens and nothing else, for `bench.relay` and tests.
+"""Run a process that only relays tokens, for `bench.relay` and tests.
 
-It is the callers' API of a node with the plain admitter and a document of one model,
-one organisation and the engines that it is told; no platform, no other nodes.
+It serves the callers' API of a node with the local admitter and a document of one
+model, one organisation and the engines given as options. There is no platform and no
+other node.
 """
 
 from __future__ import annotations
@@ -41,7 +42,7 @@
 
 
 def make_document(engines: list[str]) -> Document:
-    """Return a document with engines at the addresses given."""
+    """Return a document with engines at the given addresses."""
     return Document(
         models=(ModelSpec(name=MODEL, version="1", n_context_tokens=1_000_000),),
         organisations=(
@@ -59,7 +60,7 @@
 
 
 def make_api(name: str, engines: list[str], grace_seconds: float) -> CallersApi:
-    """Return a callers' API before some engines."""
+    """Return a callers' API that relays from the given engines."""
     clock = SystemClock()
     rng = random.Random(1)
     configuration = Configuration()
@@ -92,9 +93,11 @@
 
 def main(
     engine: list[str] = typer.Option([], help="IP:PORT of an engine; repeatable."),  # noqa: B008
-    name: str = typer.Option("relay", help="What it calls itself in logs."),
-    grace_seconds: float = typer.Option(20.0, help="Grace of callers that left."),
-    log: Path | None = typer.Option(None, help="File for log lines; none without."),  # noqa: B008
+    name: str = typer.Option("relay", help="Name of the process in logs."),
+    grace_seconds: float = typer.Option(
+        20.0, help="Seconds in which a caller may resume."
+    ),
+    log: Path | None = typer.Option(None, help="Log file; without it, no logging."),  # noqa: B008
 ) -> None:
     """Relay tokens from engines to callers."""
     if log is not None:
