--- a/bench/cases.py
+++ b/bench/cases.py
@@ -90,7 +90,7 @@
         strategy=make_strategy("oracle", CAPACITY_SEED),
     )
     measures = sim.run()
-    return measures.n_delivered / (deployment.seconds - deployment.warm_up)
+    return measures.n_delivered / (deployment.seconds - deployment.warm_up_seconds)
 
 
 def run_case(case: Case) -> Outcome:
@@ -112,8 +112,8 @@
         strategy=make_strategy(case.policy, case.seed),
     )
     if case.fault in FAULTS:
-        window = deployment.seconds - deployment.warm_up
-        FAULTS[case.fault](sim, deployment.warm_up + 0.2 * window, 0.6 * window)
+        window = deployment.seconds - deployment.warm_up_seconds
+        FAULTS[case.fault](sim, deployment.warm_up_seconds + 0.2 * window, 0.6 * window)
     measures = sim.run()
     return _outcome(case, measures, time.process_time() - started)
 
@@ -125,9 +125,9 @@
 
 def _outcome(case: Case, measures: Measures, run_seconds: float) -> Outcome:
     deployment = _scaled_deployment(case)
-    seconds = deployment.seconds - deployment.warm_up
+    seconds = deployment.seconds - deployment.warm_up_seconds
     gap_p50, gap_p99, gap_p999 = _quantiles(measures.gaps, (0.5, 0.99, 0.999))
-    first = sorted(measures.first_tokens) or [0.0]
+    first = sorted(measures.first_token_seconds) or [0.0]
     n_calls = max(1, measures.n_calls)
     smallest = _smallest_share(case, measures)
     return Outcome(
@@ -161,7 +161,9 @@
     of any organisation but the greedy one.
     """
     deployment = _scaled_deployment(case)
-    seconds = deployment.seconds - deployment.warm_up - deployment.patience
+    seconds = (
+        deployment.seconds - deployment.warm_up_seconds - deployment.patience_seconds
+    )
     n_even_share_tokens = case.capacity * seconds / N_ORGANISATIONS
     shares = [
         measures.n_served_tokens[name] / min(n_tokens, n_even_share_tokens)
--- a/bench/engine.py
+++ b/bench/engine.py
@@ -31,7 +31,7 @@
     """Holds one generation at an engine.
 
     Only the fake engine and the oracle know its output length. While it decodes, it has
-    produced as many tokens as the engine's current step is past step ``base``.
+    produced as many tokens as the engine's current step is past ``base_step``.
     """
 
     generation_id: str
@@ -46,7 +46,7 @@
     on_end: Callable[[Job, str, float], None]
     n_produced_tokens: int = 0
     n_prefill_tokens_left: int = 0
-    base: int = 0
+    base_step: int = 0
     joined: int = 0
     state: str = "waiting"
     last_token_at: float = 0.0
@@ -170,13 +170,18 @@
         self._prefilled = []
         while self._decoding_ends and self._decoding_ends[0][0] <= self.step:
             _, _, job = heapq.heappop(self._decoding_ends)
-            if job.state == "decoding" and self.step >= job.base + job.n_output_tokens:
+            if (
+                job.state == "decoding"
+                and self.step >= job.base_step + job.n_output_tokens
+            ):
                 self._complete(job, now)
 
     def n_tokens(self, job: Job) -> int:
         """Return how many tokens a generation has produced."""
         return (
-            self.step - job.base if job.state == "decoding" else job.n_produced_tokens
+            self.step - job.base_step
+            if job.state == "decoding"
+            else job.n_produced_tokens
         )
 
     def make_report(self, now: float) -> EngineReport:
@@ -265,11 +270,11 @@
 
     def _start_decoding(self, job: Job, now: float) -> None:
         job.n_produced_tokens += 1
-        job.base = self.step - job.n_produced_tokens
+        job.base_step = self.step - job.n_produced_tokens
         job.state = "decoding"
         self.n_used_tokens += 1
         self._decoding.add(job)
-        end = (job.base + job.n_output_tokens, next(self._entry_numbers), job)
+        end = (job.base_step + job.n_output_tokens, next(self._entry_numbers), job)
         heapq.heappush(self._decoding_ends, end)
         if job.n_produced_tokens > 1:
             self.on_gap(now - job.last_token_at, 1, now)
@@ -277,7 +282,7 @@
 
     def _release(self, job: Job) -> None:
         if job.state == "decoding":
-            job.n_produced_tokens = self.step - job.base
+            job.n_produced_tokens = self.step - job.base_step
             job.last_token_at = self._last_step_at
             self._decoding.discard(job)
         elif job.state == "prefilling":
--- a/bench/relay.py
+++ b/bench/relay.py
@@ -54,7 +54,7 @@
 
 
 class StreamCaller(asyncio.Protocol):
-    """One caller: it asks for a long draft and counts the bytes and events."""
+    """Requests a long draft; the class counts the events and bytes of all callers."""
 
     n_events = 0
     n_bytes = 0
--- a/bench/simulation.py
+++ b/bench/simulation.py
@@ -41,7 +41,7 @@
     """
 
     gaps: Counter[int] = field(default_factory=Counter)
-    first_tokens: list[float] = field(default_factory=list)
+    first_token_seconds: list[float] = field(default_factory=list)
     stall_seconds: float = 0.0
     n_delivered: int = 0
     n_lost_tokens: int = 0
@@ -179,7 +179,7 @@
         engine.end_step(self.now)
         engine.is_busy = False
         self.start_step(engine)
-        if self.now >= self.deployment.warm_up:
+        if self.now >= self.deployment.warm_up_seconds:
             self.measures.n_preemptions += engine.n_preemptions - n_preemptions_before
 
     def _schedule_next_call(self) -> None:
@@ -190,14 +190,14 @@
     def _on_arrival(self, call: Call) -> None:
         self._schedule_next_call()
         deployment = self.deployment
-        deadline = call.arrives_at + deployment.patience
+        deadline = call.arrives_at + deployment.patience_seconds
         counted_until = (
-            deployment.seconds - deployment.patience - FIRST_TOKEN_GRACE_SECONDS
+            deployment.seconds - deployment.patience_seconds - FIRST_TOKEN_GRACE_SECONDS
         )
         stream = Stream(
             call=call,
             deadline=deadline,
-            is_counted=deployment.warm_up <= call.arrives_at < counted_until,
+            is_counted=deployment.warm_up_seconds <= call.arrives_at < counted_until,
         )
         self.streams[stream.stream_id] = stream
         if stream.is_counted:
@@ -252,10 +252,10 @@
         if job.n_produced_tokens > 1 or stream.state != "waiting":
             return
         stream.state = "running"
-        if now >= self.deployment.warm_up:
+        if now >= self.deployment.warm_up_seconds:
             self.measures.n_delivered += 1
         if stream.is_counted:
-            self.measures.first_tokens.append(now - stream.call.arrives_at)
+            self.measures.first_token_seconds.append(now - stream.call.arrives_at)
             call = stream.call
             self.measures.n_served_tokens[call.organisation] += call.n_output_tokens
 
@@ -280,7 +280,7 @@
             self.measures.n_lost_tokens += n_tokens
 
     def _on_gap(self, seconds: float, n_streams: int, now: float) -> None:
-        if now < self.deployment.warm_up:
+        if now < self.deployment.warm_up_seconds:
             return
         measures = self.measures
         measures.gaps[round(seconds / GAP_STEP_SECONDS)] += n_streams
--- a/bench/workloads.py
+++ b/bench/workloads.py
@@ -41,11 +41,11 @@
         The kinds of requests that callers make.
     shares : tuple of float
         Each organisation's share of the requests, the smallest last.
-    patience : float
+    patience_seconds : float
         Seconds a caller waits in the queue.
     burst : float
         Factor by which the rate of arrivals rises in a burst; 1 for no bursts.
-    seconds, warm_up : float
+    seconds, warm_up_seconds : float
         Length of a run in seconds, and the part at its start that isn't measured.
     n_max_tokens : int
         The largest output that each request allows.
@@ -57,10 +57,10 @@
     n_batch: int
     kinds: tuple[RequestKind, ...]
     shares: tuple[float, ...]
-    patience: float
+    patience_seconds: float
     burst: float
     seconds: float
-    warm_up: float
+    warm_up_seconds: float
     n_max_tokens: int
 
 
@@ -133,10 +133,10 @@
         ),
     ),
     shares=(0.30, 0.20, 0.12, 0.10, 0.08, 0.06, 0.05, 0.04, 0.03, 0.02),
-    patience=60.0,
+    patience_seconds=60.0,
     burst=1.0,
     seconds=900.0,
-    warm_up=200.0,
+    warm_up_seconds=200.0,
     n_max_tokens=24_000,
 )
 CIRANDA = Deployment(
@@ -159,10 +159,10 @@
         ),
     ),
     shares=(0.70, 0.08, 0.06, 0.04, 0.03, 0.03, 0.02, 0.02, 0.01, 0.01),
-    patience=10.0,
+    patience_seconds=10.0,
     burst=3.0,
     seconds=360.0,
-    warm_up=60.0,
+    warm_up_seconds=60.0,
     n_max_tokens=8_000,
 )
 # A held-out workload: no policy was tuned on it. It has another family of distributions
@@ -181,10 +181,10 @@
         ),
     ),
     shares=(0.4, 0.2, 0.1, 0.1, 0.05, 0.05, 0.04, 0.03, 0.02, 0.01),
-    patience=30.0,
+    patience_seconds=30.0,
     burst=2.0,
     seconds=600.0,
-    warm_up=120.0,
+    warm_up_seconds=120.0,
     n_max_tokens=20_000,
 )
 DEPLOYMENTS = {d.name: d for d in (OFFICE, CIRANDA, UNSEEN)}
