--- a/scenarios/__init__.py
+++ b/scenarios/__init__.py
@@ -1,1 +1,1 @@
-"""Scripted failures in a small language, and what runs them."""
+"""Failure scenarios in a small language, and the drivers that run them."""
--- a/scenarios/__main__.py
+++ b/scenarios/__main__.py
@@ -16,7 +16,7 @@
 from . import steps
 from .language import parse
 from .memorydriver import MemoryDriver
-from .realdriver import NotOnRealLinksError, RealDriver
+from .realdriver import RealDriver, UnsupportedStepError
 from .runner import Runner
 from .virtualtime import close_loop, new_loop
 
@@ -25,15 +25,15 @@
     """Run a scenario in this process on virtual time."""
     loop = new_loop()
     try:
-        found: tuple[Finding, ...] = loop.run_until_complete(
+        findings: tuple[Finding, ...] = loop.run_until_complete(
             Runner(driver=MemoryDriver(seed=seed)).run(scenario)
         )
-        return found
+        return findings
     finally:
         close_loop(loop)
 
 
-def run_for_real(scenario: steps.Scenario) -> tuple[Finding, ...]:
+def run_with_processes(scenario: steps.Scenario) -> tuple[Finding, ...]:
     """Run a scenario with real processes and real signals."""
     with tempfile.TemporaryDirectory(prefix="celerytrail-scenario-") as folder:
         driver = RealDriver(folder=Path(folder))
@@ -42,10 +42,10 @@
 
 def main(
     files: Annotated[list[Path], typer.Argument(help="Scenario files.")],
-    real: Annotated[bool, typer.Option(help="With real processes.")] = False,
-    seed: Annotated[int, typer.Option(help="Of the driver in memory.")] = 1,
+    real: Annotated[bool, typer.Option(help="Run with real processes.")] = False,
+    seed: Annotated[int, typer.Option(help="Seed of the in-memory driver.")] = 1,
 ) -> None:
-    """Run scenarios and say, with file and line, what did not hold."""
+    """Run scenarios and report failed expectations with file and line."""
     n_failed = 0
     for path in files:
         parsed = parse(path.read_text(encoding="utf-8"), path.name)
@@ -56,15 +56,17 @@
             try:
                 scenario = parsed.ok_value
                 if real:
-                    findings = run_for_real(scenario)
+                    findings = run_with_processes(scenario)
                 else:
                     findings = run_in_memory(scenario, seed)
-            except NotOnRealLinksError as exc:
-                typer.echo(f"passed over  {path.name}: real links can't {exc}")
+            except UnsupportedStepError as exc:
+                typer.echo(
+                    f"skipped      {path.name}: not possible with real processes: {exc}"
+                )
                 continue
             seconds = time.monotonic() - started_at
-            word = "FAILED" if findings else "held"
-            typer.echo(f"{word:12} {path.name} ({seconds:.1f} s) {scenario.title}")
+            result = "FAILED" if findings else "held"
+            typer.echo(f"{result:12} {path.name} ({seconds:.1f} s) {scenario.title}")
         for finding in findings:
             typer.echo(f"    {finding}")
         n_failed += bool(findings)
--- a/scenarios/callers.py
+++ b/scenarios/callers.py
@@ -1,4 +1,4 @@
-"""The callers of one scenario: what they asked for, what they got, what is right."""
+"""The callers of one scenario: their requests, the answers and the expected tokens."""
 
 from __future__ import annotations
 
@@ -26,8 +26,8 @@
 
 
 @dataclass(kw_only=True)
-class Drafting:
-    """One draft that a caller asked for."""
+class DraftRecord:
+    """One draft that a caller requested, and how far it got."""
 
     caller: Caller
     prompt: str
@@ -39,8 +39,8 @@
 
 
 @dataclass(kw_only=True)
-class Calling:
-    """One call to a plain service."""
+class CallRecord:
+    """One call to a plain service, and its outcome."""
 
     body: str
     task: asyncio.Task[None] | None = None
@@ -48,14 +48,14 @@
 
 
 class Callers:
-    """All callers of one scenario.
+    """Makes the requests of all callers of one scenario and records the outcomes.
 
     Parameters
     ----------
     network : Network
-        What carries their connections.
+        Network on which the callers connect.
     keys : dict
-        Organisations to API keys.
+        API key of each organisation.
     """
 
     def __init__(self, *, network: Network, keys: dict[str, str]) -> None:
@@ -63,101 +63,101 @@
             name: Caller(key=key, known=(), network=network)
             for name, key in keys.items()
         }
-        self.drafts: dict[str, Drafting] = {}
-        self.calls: dict[str, Calling] = {}
+        self.drafts: dict[str, DraftRecord] = {}
+        self.calls: dict[str, CallRecord] = {}
 
     def ask_draft(
         self, organisation: str, address: Address, name: str, n_tokens: int
     ) -> None:
-        """Ask for a draft, which goes on by itself."""
-        drafting = Drafting(
+        """Request a draft, which runs in a task of its own."""
+        record = DraftRecord(
             caller=self._callers[organisation],
             prompt=f"Draft {name} [length={n_tokens}]",
             n_tokens=n_tokens,
         )
-        self.drafts[name] = drafting
-        drafting.task = asyncio.create_task(self._draft(drafting, address))
+        self.drafts[name] = record
+        record.task = asyncio.create_task(self._draft(record, address))
 
     async def resume(self, name: str, address: Address) -> None:
-        """Take a draft up again, giving up the connection it came on."""
-        drafting = self.drafts[name]
+        """Resume a draft on a new connection after closing its current one."""
+        record = self.drafts[name]
         await self.disconnect(name)
-        drafting.outcome = None
-        drafting.draft.error = None
-        drafting.task = asyncio.create_task(self._resume(drafting, address))
+        record.outcome = None
+        record.draft.error = None
+        record.task = asyncio.create_task(self._resume(record, address))
 
     async def disconnect(self, name: str) -> None:
-        """Let a draft's caller go away."""
-        drafting = self.drafts[name]
-        if drafting.task is not None and not drafting.task.done():
-            drafting.task.cancel()
-            await asyncio.wait([drafting.task])
-        if drafting.stream is not None:
-            drafting.stream.close()
+        """Close the connection of a draft's caller."""
+        record = self.drafts[name]
+        if record.task is not None and not record.task.done():
+            record.task.cancel()
+            await asyncio.wait([record.task])
+        if record.stream is not None:
+            record.stream.close()
 
     async def cancel(self, name: str, address: Address) -> None:
         """Cancel a draft at any node."""
-        drafting = self.drafts[name]
-        await drafting.caller.cancel(address, drafting.draft)
+        record = self.drafts[name]
+        await record.caller.cancel(address, record.draft)
 
     def file(
         self, organisation: str, address: Address, name: str, key: str, body: str
     ) -> None:
-        """Make a call that may not be repeated; it goes on by itself."""
-        calling = Calling(body=f"{key}:{body}")
+        """Make a non-idempotent call, which runs in a task of its own."""
+        record = CallRecord(body=f"{key}:{body}")
         caller = self._callers[organisation]
-        self.calls[name] = calling
-        work = caller.call(address, SERVICE, OPERATION, key, {"text": calling.body})
-        calling.task = asyncio.create_task(_call(calling, work))
+        self.calls[name] = record
+        work = caller.call(address, SERVICE, OPERATION, key, {"text": record.body})
+        record.task = asyncio.create_task(_call(record, work))
 
     def ask_status(
         self, organisation: str, address: Address, name: str, key: str
     ) -> None:
-        """Ask what became of a key."""
-        calling = Calling(body="")
-        self.calls[name] = calling
+        """Request the status of an idempotency key."""
+        record = CallRecord(body="")
+        self.calls[name] = record
         work = self._callers[organisation].status(address, SERVICE, key)
-        calling.task = asyncio.create_task(_call(calling, work))
+        record.task = asyncio.create_task(_call(record, work))
 
     async def wait_end(self, name: str) -> None:
         """Wait until a draft or call has ended."""
-        task = self._item(name).task
+        task = self._record(name).task
         if task is not None:
             await asyncio.wait([task])
 
     async def wait_tokens(self, name: str, n_tokens: int) -> None:
-        """Wait until a draft has so many tokens, or has ended."""
-        drafting = self.drafts[name]
-        while len(drafting.draft.tokens) < n_tokens:
-            if drafting.task is None or drafting.task.done():
+        """Wait until a draft has at least ``n_tokens`` tokens or has ended."""
+        record = self.drafts[name]
+        while len(record.draft.tokens) < n_tokens:
+            if record.task is None or record.task.done():
                 return
             await asyncio.sleep(0.01)
 
     def outcome(self, name: str) -> Outcome:
         """Return how a draft or call ended."""
-        return self._item(name).outcome or Outcome(kind="in progress")
+        return self._record(name).outcome or Outcome(kind="in progress")
 
     def wrong_tokens(self, name: str) -> str:
-        """Return what is wrong with a draft's tokens so far; empty for nothing.
+        """Return the first wrong token of a draft so far; empty when there is none.
 
-        The oracle is the stand-in's own rule: token n of a generation is known, so a
-        lost, doubled, swapped or foreign token shows.
+        The stand-in derives token n of a generation from the prompt and the
+        generation's id, so a lost, duplicate, swapped or foreign token is found.
         """
-        drafting = self.drafts[name]
-        draft = drafting.draft
+        record = self.drafts[name]
+        draft = record.draft
         if not draft.tokens:
             return ""
         generation = draft.generation_id
         for offset, token in enumerate(draft.tokens):
-            right = token_text(drafting.prompt, generation, offset)
-            if token != right:
-                return f"token {offset} is {token!r} and should be {right!r}"
+            expected = token_text(record.prompt, generation, offset)
+            if token != expected:
+                return f"token {offset} is {token!r} and should be {expected!r}"
         return ""
 
     async def close(self) -> None:
-        """End all that still goes on."""
-        tasks = [drafting.task for drafting in self.drafts.values()]
-        tasks += [calling.task for calling in self.calls.values()]
+        """Cancel all requests in progress and close the callers."""
+        tasks = [record.task for record in self.drafts.values()]
+        tasks += [record.task for record in self.calls.values()]
         running = [task for task in tasks if task is not None and not task.done()]
         for task in running:
             task.cancel()
@@ -166,45 +166,43 @@
         for caller in self._callers.values():
             caller.close()
 
-    def _item(self, name: str) -> Drafting | Calling:
+    def _record(self, name: str) -> DraftRecord | CallRecord:
         if name in self.drafts:
             return self.drafts[name]
         return self.calls[name]
 
-    async def _draft(self, drafting: Drafting, address: Address) -> None:
-        start = drafting.caller.start(
-            address, MODEL, drafting.prompt, drafting.n_tokens * 2
-        )
-        await self._follow(drafting, start)
+    async def _draft(self, record: DraftRecord, address: Address) -> None:
+        start = record.caller.start(address, MODEL, record.prompt, record.n_tokens * 2)
+        await self._follow(record, start)
 
-    async def _resume(self, drafting: Drafting, address: Address) -> None:
-        await self._follow(drafting, drafting.caller.resume(address, drafting.draft))
+    async def _resume(self, record: DraftRecord, address: Address) -> None:
+        await self._follow(record, record.caller.resume(address, record.draft))
 
-    async def _follow(self, drafting: Drafting, opening: object) -> None:
+    async def _follow(self, record: DraftRecord, opening: object) -> None:
         try:
-            drafting.stream = await opening  # type: ignore[misc]
+            record.stream = await opening  # type: ignore[misc]
         except CallerError as exc:
-            drafting.outcome = _refusal(exc)
+            record.outcome = _refusal(exc)
             return
-        async for _ in drafting.caller.follow(drafting.stream, drafting.draft):
+        async for _ in record.caller.follow(record.stream, record.draft):
             pass
-        drafting.outcome = _draft_outcome(drafting)
+        record.outcome = _draft_outcome(record)
 
 
 def new_key(organisation: str) -> str:
-    """Return an organisation's API key; the same one in each run."""
+    """Return an organisation's API key, which is the same in each run."""
     return hashlib.sha256(f"key of {organisation}".encode()).hexdigest()
 
 
 def count_runs(ledger: list[dict[str, object]], body: str) -> int:
-    """Return how often an endpoint's ledger says that a call's body was run."""
+    """Return how often a call's body appears in an endpoint's ledger of runs."""
     bodies = Counter(msgspec.json.encode(run["body"]) for run in ledger)
     return bodies[msgspec.json.encode({"text": body})]
 
 
-def _draft_outcome(drafting: Drafting) -> Outcome:
-    draft = drafting.draft
-    if draft.is_whole and len(draft.tokens) == drafting.n_tokens:
+def _draft_outcome(record: DraftRecord) -> Outcome:
+    draft = record.draft
+    if draft.is_whole and len(draft.tokens) == record.n_tokens:
         return Outcome(kind="whole")
     error = draft.error or {}
     reason = str(error.get("reason", "connection_cut"))
@@ -222,26 +220,30 @@
     return Outcome(kind="refused", reason=reason)
 
 
-async def _call(calling: Calling, work: object) -> None:
+async def _call(record: CallRecord, work: object) -> None:
     try:
         answer: Response = await work  # type: ignore[misc]
     except CallerError as exc:
-        calling.outcome = Outcome(kind="unknown", reason=str(exc))
+        record.outcome = Outcome(kind="unknown", reason=str(exc))
         return
-    calling.outcome = _call_outcome(answer)
+    record.outcome = _call_outcome(answer)
 
 
 def _call_outcome(answer: Response) -> Outcome:
     body = msgspec.json.decode(answer.body, type=dict[str, Any])
     if "state" in body:
-        return Outcome(kind=_KINDS.get(body["state"], body["state"]))
+        return Outcome(kind=_OUTCOME_KINDS.get(body["state"], body["state"]))
     if answer.status < 300:
         is_replayed = answer.headers.get(REPLAYED_HEADER) == "true"
         return Outcome(kind="replayed" if is_replayed else "answered")
     error = body.get("error", {})
     reason = str(error.get("reason", error.get("type", "")))
-    kind = _KINDS.get(str(error.get("type")), "refused")
+    kind = _OUTCOME_KINDS.get(str(error.get("type")), "refused")
     return Outcome(kind=kind, reason=reason)
 
 
-_KINDS = {"not_run": "not run", "unknown": "unknown", "in_progress": "in progress"}
+_OUTCOME_KINDS = {
+    "not_run": "not run",
+    "unknown": "unknown",
+    "in_progress": "in progress",
+}
--- a/scenarios/driver.py
+++ b/scenarios/driver.py
@@ -1,4 +1,4 @@
-"""What a scenario acts on: processes, links, callers and what can be seen of them."""
+"""The interface between scenarios and the processes, links and callers they act on."""
 
 from __future__ import annotations
 
@@ -19,9 +19,9 @@
     Parameters
     ----------
     kind : str
-        One of the outcomes that the language names.
+        One of the outcomes that ``ExpectOutcome`` lists.
     reason : str
-        The stable word for its cause; may be empty.
+        Stable code of the cause; may be empty.
     """
 
     kind: str
@@ -29,18 +29,18 @@
 
 
 class Driver(abc.ABC):
-    """Starts, ends, disturbs and watches the processes of one scenario."""
+    """Starts, stops, disturbs and observes the processes of one scenario."""
 
     callers: Callers
     newest_version: int = 0
 
     @abc.abstractmethod
     async def start_all(self, n_nodes: int, n_engines: int, n_endpoints: int) -> None:
-        """Start everything; nodes are ``node-1``, ``node-2`` and so on."""
+        """Start all processes; nodes are named ``node-1``, ``node-2`` and so on."""
 
     @abc.abstractmethod
     async def start_one(self, name: str) -> None:
-        """Start one more process, or a dead one anew."""
+        """Start one more process, or restart a dead one."""
 
     @abc.abstractmethod
     async def signal(self, name: str, action: str) -> None:
@@ -48,49 +48,53 @@
 
     @abc.abstractmethod
     async def cut(self, sender: str, receiver: str, *, is_both_ways: bool) -> None:
-        """Hold what goes from one process to another."""
+        """Hold what one process sends to another."""
 
     @abc.abstractmethod
     async def heal(self) -> None:
-        """Take all cuts away."""
+        """Remove all cuts."""
 
     @abc.abstractmethod
     async def drop_datagrams(self, share: float) -> None:
-        """Drop a share of the nodes' datagrams."""
+        """Drop a share, from 0 to 1, of the nodes' datagrams."""
 
     @abc.abstractmethod
-    async def jump(self, name: str, seconds: float) -> None:
-        """Move a node's wall clock."""
+    async def shift_clock(self, name: str, seconds: float) -> None:
+        """Shift a node's wall clock by ``seconds``."""
 
     @abc.abstractmethod
     async def fault(self, name: str, fault: str, value: float | None) -> None:
-        """Switch on a stand-in's fault."""
+        """Enable a fault of a stand-in."""
 
     @abc.abstractmethod
     async def clear_faults(self, name: str) -> None:
-        """Switch off a stand-in's faults."""
+        """Disable all faults of a stand-in."""
 
     @abc.abstractmethod
     async def list_leaving(self, name: str) -> None:
-        """Let the platform's VM list say that a process's VM is leaving."""
+        """Mark a process's VM as leaving in the platform's VM list."""
 
     @abc.abstractmethod
-    async def say_leaving(self, name: str, seconds: float) -> None:
-        """Let an engine or endpoint report that it leaves."""
+    async def announce_leaving(self, name: str, seconds: float) -> None:
+        """Make an engine or endpoint report that it leaves in ``seconds``."""
 
     @abc.abstractmethod
     async def change_priority(
         self, operator: str, change: str, organisation: str, priority: int, base: str
     ) -> None:
-        """Let an operator change the document, from another change's base or now."""
+        """Change an organisation's priority as an operator.
+
+        The change builds on the base of the change named ``base``, or on the current
+        document where ``base`` is empty.
+        """
 
     @abc.abstractmethod
     async def drain(self, operator: str, name: str) -> None:
-        """Let an operator set the role of an engine or endpoint to drain."""
+        """Set the role of an engine or endpoint to drain, as an operator."""
 
     @abc.abstractmethod
     def address(self, name: str) -> Address:
-        """Return where callers find a node."""
+        """Return the address of a node for callers."""
 
     @abc.abstractmethod
     def outcome(self, name: str) -> Outcome:
@@ -98,23 +102,23 @@
 
     @abc.abstractmethod
     async def n_runs(self, call: str) -> int:
-        """Return how often endpoints ran a call."""
+        """Return how often the endpoints ran a call."""
 
     @abc.abstractmethod
     async def versions(self) -> dict[str, int]:
         """Return the version in force at each running node."""
 
     @abc.abstractmethod
-    async def listed(self) -> dict[str, set[str]]:
-        """Return, for each running node, which nodes its address answer names."""
+    async def listed_nodes(self) -> dict[str, set[str]]:
+        """Return the nodes that each running node lists in its address answer."""
 
     @abc.abstractmethod
-    async def work_times(self, name: str) -> list[float]:
-        """Return when an engine or endpoint began work, on the wall clock."""
+    async def work_start_times(self, name: str) -> list[float]:
+        """Return the wall-clock times at which an engine or endpoint began work."""
 
     @abc.abstractmethod
-    def left_at(self, name: str) -> float:
-        """Return when it first could be known that a process is leaving."""
+    def leaving_announced_at(self, name: str) -> float:
+        """Return the earliest wall-clock time at which a leaving could be known."""
 
     @abc.abstractmethod
     def has_ended(self, name: str) -> bool:
@@ -122,4 +126,4 @@
 
     @abc.abstractmethod
     async def close(self) -> None:
-        """End everything that was started."""
+        """Stop all processes and close all connections."""
--- a/scenarios/faultnames.py
+++ b/scenarios/faultnames.py
@@ -1,10 +1,10 @@
-"""What a scenario calls a stand-in's fault, and the body that switches it on."""
+"""Names of the stand-ins' faults in scenarios, and the body that enables each."""
 
 from __future__ import annotations
 
-# A value in the place of `VALUE` is the number that the sentence gives.
+# Placeholder for the number that the scenario's step gives.
 VALUE = "VALUE"
-# Likewise, so many seconds from now on the wall clock.
+# Placeholder for the wall-clock time that is the step's number of seconds from now.
 SECONDS_FROM_NOW = "SECONDS_FROM_NOW"
 
 FAULTS: dict[str, dict[str, object]] = {
@@ -44,23 +44,25 @@
 
 
 def fault_body(fault: str, value: float | None, wall: float) -> dict[str, object]:
-    """Return the body of ``PUT /faults``.
+    """Return the body of ``PUT /faults`` that enables a fault.
 
     Raises
     ------
     ValueError
-        When there is no such fault, or it needs a value.
+        If the fault does not exist, or needs a value and has none.
     """
     if fault not in FAULTS:
-        raise ValueError(f"{fault!r} is none of {', '.join(sorted(FAULTS))}")
+        raise ValueError(
+            f"unknown fault {fault!r}; known faults: {', '.join(sorted(FAULTS))}"
+        )
     body: dict[str, object] = {}
-    for name, part in FAULTS[fault].items():
-        if part not in (VALUE, SECONDS_FROM_NOW):
-            body[name] = part
+    for name, setting in FAULTS[fault].items():
+        if setting not in (VALUE, SECONDS_FROM_NOW):
+            body[name] = setting
             continue
         if value is None:
             raise ValueError(f"{fault!r} needs a value, as in 'by {fault} of 3'")
-        body[name] = value if part == VALUE else wall + value
-        if part == VALUE and value.is_integer() and name != "seconds":
+        body[name] = value if setting == VALUE else wall + value
+        if setting == VALUE and value.is_integer() and name != "seconds":
             body[name] = int(value)
     return body
--- a/scenarios/fuzz.py
+++ b/scenarios/fuzz.py
@@ -1,10 +1,11 @@
-"""Failures at random against a simple oracle: ``python -m scenarios.fuzz``.
-
-The machine starts a whole system in memory on virtual time, lets callers ask and file
-while processes die, freeze, thaw and restart, links stall and the platform fails, and
-then lets everything heal. The oracle knows four things only: for each draft the tokens
-it must have; for each key how often it ran and what was said of it; for each node that
-its version only rises; and that a healed system serves.
+"""Random fault injection checked by a simple oracle: ``python -m scenarios.fuzz``.
+
+The state machine starts a whole system in memory on virtual time. Callers request
+drafts and file calls while processes die, freeze, thaw and restart, links stall and
+the platform fails. At the end every fault is removed. The oracle checks four
+properties: each draft has the expected tokens; each key ran at most once, and the
+outcomes reported for it agree with that count; no node's document version decreases;
+and the recovered system serves requests.
 """
 
 from __future__ import annotations
@@ -34,22 +35,22 @@
 
 NODES = ("node-1", "node-2", "node-3")
 ENGINES = ("engine-1", "engine-2")
-# One alone, so that a fault of it meets the next filing.
+# A single endpoint, so that a fault of it always affects the next filing.
 ENDPOINTS = ("bookings-1",)
 ORGANISATIONS = ("lone-star", "ciranda")
-# Few keys, so that the same one is used again and again.
+# Few keys, so that the same key is reused often.
 KEYS = ("k1", "k2")
-HEAL_SECONDS = 30.0
+RECOVERY_SECONDS = 30.0
 N_STEPS = 25
-# No request may take longer than this in all, in virtual seconds.
-MOST_SECONDS = 120.0
+# Upper bound on a whole request, and on each step, in virtual seconds.
+MAX_STEP_SECONDS = 120.0
 
 node_names = st.sampled_from(NODES)
 organisations = st.sampled_from(ORGANISATIONS)
 
 
 class Machine(RuleBasedStateMachine):
-    """One run: rules that do and disturb, invariants that must always hold."""
+    """State machine of one run: rules for requests and faults, and invariants."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -66,7 +67,7 @@
         """Start three nodes, two engines and two endpoints."""
         self.run(self.driver.start_all(len(NODES), len(ENGINES), len(ENDPOINTS)))
 
-    # What callers and operators do.
+    # Requests of callers and operators.
 
     @rule(organisation=organisations, node=node_names, n_tokens=st.integers(1, 200))
     def ask_draft(self, organisation: str, node: str, n_tokens: int) -> None:
@@ -125,7 +126,7 @@
         """Let time pass."""
         self.sleep(seconds)
 
-    # What fails.
+    # Faults.
 
     @precondition(lambda self: len(self.dead) < len(NODES) - 1)
     @rule(node=node_names)
@@ -223,7 +224,7 @@
         """Let an engine fail."""
         self.run(self.driver.fault(engine, *fault))
 
-    # What must hold.
+    # Invariants.
 
     @invariant()
     def tokens_are_right(self) -> None:
@@ -240,17 +241,17 @@
             self.versions[node] = version
 
     def teardown(self) -> None:
-        """Heal everything, then check what was said and that the system serves."""
+        """Remove all faults, then check the outcomes and that the system serves."""
         try:
-            self.run(self._heal_all())
-            self.sleep(HEAL_SECONDS)
+            self.run(self._remove_all_faults())
+            self.sleep(RECOVERY_SECONDS)
             self.run(self._check_keys())
-            self.run(self._check_service())
+            self.run(self._check_recovery())
         finally:
             self.run(self.driver.close())
             close_loop(self.loop)
 
-    async def _heal_all(self) -> None:
+    async def _remove_all_faults(self) -> None:
         await self.driver.heal()
         for name in sorted(self.frozen):
             await self.driver.signal(name, "thaw")
@@ -264,20 +265,26 @@
         for name in self.key_of_call:
             await callers.wait_end(name)
         for key in set(self.key_of_call.values()):
-            calls = [name for name, one in self.key_of_call.items() if one == key]
+            calls = [
+                name for name, call_key in self.key_of_call.items() if call_key == key
+            ]
             kinds = {callers.outcome(name).kind for name in calls}
             n_runs = await self.driver.n_runs(calls[0])
             assert n_runs <= 1, f"{key} ran {n_runs} times"
             if kinds <= {"not run", "refused"}:
-                assert n_runs == 0, f"{key} ran, and all were told that it was not"
+                assert n_runs == 0, (
+                    f"{key} ran, but every caller was answered that it did not"
+                )
             if kinds & {"answered", "replayed"}:
-                assert n_runs == 1, f"{key} was answered and did not run"
+                assert n_runs == 1, f"{key} was answered but did not run"
 
-    async def _check_service(self) -> None:
+    async def _check_recovery(self) -> None:
         callers = self.driver.callers
         versions = await self.driver.versions()
         newest = self.driver.newest_version
-        assert set(versions.values()) == {newest}, f"{versions}, not {newest}"
+        assert set(versions.values()) == {newest}, (
+            f"versions are {versions}, expected {newest}"
+        )
         for node in NODES:
             address = self.driver.address(node)
             callers.ask_draft("smallest", address, f"last-{node}", 20)
@@ -289,13 +296,13 @@
                 assert outcome.kind in ("whole", "answered"), f"{name}: {outcome}"
 
     def run(self, work: Awaitable[T]) -> T:
-        """Run something on the virtual loop."""
+        """Run an awaitable on the virtual-time loop, within ``MAX_STEP_SECONDS``."""
 
-        async def bounded() -> T:
-            async with asyncio.timeout(MOST_SECONDS):
+        async def work_with_timeout() -> T:
+            async with asyncio.timeout(MAX_STEP_SECONDS):
                 return await work
 
-        return self.loop.run_until_complete(bounded())
+        return self.loop.run_until_complete(work_with_timeout())
 
     def sleep(self, seconds: float) -> None:
         """Let virtual time pass."""
@@ -305,9 +312,10 @@
 def explore(
     seed: int, n_examples: int, n_steps: int = N_STEPS, *, does_shrink: bool = False
 ) -> None:
-    """Run the machine; raises what the oracle found.
+    """Run the state machine; raise the first failure that the oracle finds.
 
-    Shrinking to few steps takes hundreds of runs, some minutes, so it is asked for.
+    Shrinking a failure to few steps takes hundreds of runs, which are some minutes, so
+    it is optional.
     """
     phases = [Phase.generate, Phase.shrink] if does_shrink else [Phase.generate]
     run_state_machine_as_test(
@@ -326,19 +334,25 @@
 
 
 def main(
-    seconds: Annotated[float, typer.Option(help="Begin no new round after so long.")],
-    seed: Annotated[int, typer.Option(help="Of the first round; then one more.")] = 1,
+    seconds: Annotated[
+        float, typer.Option(help="Start no round after this many seconds.")
+    ],
+    seed: Annotated[
+        int, typer.Option(help="Seed of the first round; each further round adds 1.")
+    ] = 1,
     examples: Annotated[int, typer.Option(help="Runs in one round.")] = 20,
-    shrink: Annotated[bool, typer.Option(help="Shrink what is found.")] = False,
+    shrink: Annotated[
+        bool, typer.Option(help="Shrink a failure to few steps.")
+    ] = False,
 ) -> None:
-    """Explore failures at random until the time is over or something is found."""
-    stop_at = time.monotonic() + seconds
+    """Inject random faults until the time is up or a check fails."""
+    deadline = time.monotonic() + seconds
     n_rounds = 0
-    while time.monotonic() < stop_at:
+    while time.monotonic() < deadline:
         typer.echo(f"seed {seed + n_rounds}: {examples} runs of up to {N_STEPS} steps")
         explore(seed + n_rounds, examples, does_shrink=shrink)
         n_rounds += 1
-    typer.echo(f"fuzz: {n_rounds} rounds, {n_rounds * examples} runs, nothing found")
+    typer.echo(f"fuzz: {n_rounds} rounds, {n_rounds * examples} runs, no failure found")
 
 
 if __name__ == "__main__":
--- a/scenarios/httpdriver.py
+++ b/scenarios/httpdriver.py
@@ -1,4 +1,4 @@
-"""What both drivers do alike: all that goes over the processes' own protocols."""
+"""The part that both drivers share: requests over the processes' own protocols."""
 
 from __future__ import annotations
 
@@ -44,16 +44,16 @@
 
 
 class HttpDriver(Driver):
-    """A driver over the processes' own protocols; only starting them is left open.
+    """A driver over the processes' own protocols; subclasses start the processes.
 
     Parameters
     ----------
     network : Network
-        What carries the driver's and the callers' connections.
+        Network on which the driver and the callers connect.
     clock : Clock
-        The driver's time.
+        The driver's clock.
     seed : int
-        Of the driver's own jitter.
+        Seed of the driver's random generator.
     """
 
     def __init__(self, *, network: Network, clock: Clock, seed: int = 1) -> None:
@@ -65,29 +65,29 @@
         self._rng = random.Random(seed)
         self._client = HttpClient(process="driver", network=network)
         self._changes: dict[str, Outcome] = {}
-        self._bases: dict[str, Loaded] = {}
-        self._left_at: dict[str, float] = {}
+        self._base_of_change: dict[str, Loaded] = {}
+        self._leaving_announced_at: dict[str, float] = {}
         self._store: DocumentStore | None = None
         self._leaving_vms: set[str] = set()
 
-    # What the two drivers do differently.
+    # What each driver implements.
 
     @abc.abstractmethod
     def addresses(self, prefix: str) -> Mapping[str, Address]:
-        """Return the processes whose names begin so, with where they listen."""
+        """Return the listen addresses of the processes whose names have a prefix."""
 
     @abc.abstractmethod
     def peer_addresses(self) -> Mapping[str, Address]:
-        """Return where nodes listen for one another."""
+        """Return the addresses at which nodes listen for their peers."""
 
     def address(self, name: str) -> Address:
-        """Return where callers find a node."""
+        """Return the address of a node for callers."""
         return self.addresses(name)[name]
 
     # The document.
 
-    async def put_first_document(self) -> None:
-        """Accept a document that names what runs, and wait until it is in force."""
+    async def publish_initial_document(self) -> None:
+        """Publish a document of the running processes and wait until it is in force."""
         platform = self.addresses("platform")["platform"]
         exchanger = PlatformClient(
             addresses=(platform,),
@@ -102,60 +102,68 @@
             rng=self._rng,
         )
         await self.publish_vms()
-        await self._accept("first", "ana", self._first_document(), 0)
+        await self._accept("first", "ana", self._initial_document(), 0)
         if self._changes["first"].kind != "accepted":
-            raise RuntimeError(f"the first document: {self._changes['first']}")
+            raise RuntimeError(
+                f"the initial document was not accepted: {self._changes['first']}"
+            )
         deadline = self.clock.monotonic() + READY_SECONDS
         while self.clock.monotonic() < deadline:
             versions = await self.versions()
             if all(version == self.newest_version for version in versions.values()):
                 return
             await asyncio.sleep(POLL_SECONDS)
-        raise RuntimeError("the first document does not come into force")
+        raise RuntimeError("the initial document did not come into force at every node")
 
     async def change_priority(
         self, operator: str, change: str, organisation: str, priority: int, base: str
     ) -> None:
-        """Let an operator change the document, from another change's base or now."""
+        """Change an organisation's priority as an operator.
+
+        The change builds on the base of the change named ``base``, or on the current
+        document where ``base`` is empty.
+        """
         loaded = await self._load(base)
         if loaded is None:
             self._changes[change] = Outcome(kind="not run", reason="unavailable")
             return
-        self._bases[change] = loaded
+        self._base_of_change[change] = loaded
         organisations = tuple(
-            replace(one, priority=priority) if one.name == organisation else one
-            for one in loaded.document.organisations
+            replace(spec, priority=priority) if spec.name == organisation else spec
+            for spec in loaded.document.organisations
         )
         document = replace(loaded.document, organisations=organisations)
         await self._accept(change, operator, document, loaded.version)
 
     async def drain(self, operator: str, name: str) -> None:
-        """Let an operator set the role of an engine or endpoint to drain."""
+        """Set the role of an engine or endpoint to drain, as an operator."""
         loaded = await self._load("")
         if loaded is None:
-            raise RuntimeError("the document can't be loaded")
+            raise RuntimeError("the document could not be loaded")
         document = loaded.document
         engines = tuple(
-            replace(one, role="drain") if one.name == name else one
-            for one in document.engines
+            replace(engine, role="drain") if engine.name == name else engine
+            for engine in document.engines
         )
         services = tuple(
             replace(
                 service,
                 endpoints=tuple(
-                    replace(one, role="drain") if one.name == name else one
-                    for one in service.endpoints
+                    replace(endpoint, role="drain")
+                    if endpoint.name == name
+                    else endpoint
+                    for endpoint in service.endpoints
                 ),
             )
             for service in document.services
         )
         changed = replace(document, engines=engines, services=services)
-        self._left_at[name] = self.clock.wall()
+        self._leaving_announced_at[name] = self.clock.wall()
         await self._accept(f"drain-{name}", operator, changed, loaded.version)
 
     async def _load(self, base: str) -> Loaded | None:
         if base:
-            return self._bases[base]
+            return self._base_of_change[base]
         assert self._store is not None
         loaded = await self._store.load(self.clock.monotonic() + ACCEPT_SECONDS)
         return loaded.ok_value if isinstance(loaded, Ok) else None
@@ -181,7 +189,7 @@
             reason = type(accepted.err_value).__name__
             self._changes[change] = Outcome(kind="unknown", reason=reason)
 
-    def _first_document(self) -> Document:
+    def _initial_document(self) -> Document:
         return Document(
             models=(ModelSpec(name=MODEL, version="1"),),
             organisations=tuple(
@@ -201,10 +209,10 @@
                 )
                 for n, (name, address) in enumerate(self.addresses("engine-").items())
             ),
-            services=(self._first_service(),),
+            services=(self._initial_service(),),
         )
 
-    def _first_service(self) -> ServiceSpec:
+    def _initial_service(self) -> ServiceSpec:
         return ServiceSpec(
             name=SERVICE,
             operations=(OperationSpec(name=OPERATION, idempotent=False),),
@@ -222,26 +230,26 @@
             ),
         )
 
-    # Faults of stand-ins.
+    # Faults of stand-ins and leaving processes.
 
     async def fault(self, name: str, fault: str, value: float | None) -> None:
-        """Switch on a stand-in's fault."""
+        """Enable a fault of a stand-in."""
         body = fault_body(fault, value, self.clock.wall())
         await self._put(self.addresses(name)[name], "/faults", body)
 
     async def clear_faults(self, name: str) -> None:
-        """Switch off a stand-in's faults."""
+        """Disable all faults of a stand-in."""
         await self._put(self.addresses(name)[name], "/faults", {})
 
     async def list_leaving(self, name: str) -> None:
-        """Let the platform's VM list say that a process's VM is leaving."""
+        """Mark a process's VM as leaving in the platform's VM list."""
         self._leaving_vms.add(name)
-        self._left_at[name] = self.clock.wall()
+        self._leaving_announced_at[name] = self.clock.wall()
         await self.publish_vms()
 
-    async def say_leaving(self, name: str, seconds: float) -> None:
-        """Let an engine or endpoint report that it leaves."""
-        self._left_at[name] = self.clock.wall()
+    async def announce_leaving(self, name: str, seconds: float) -> None:
+        """Make an engine or endpoint report that it leaves in ``seconds``."""
+        self._leaving_announced_at[name] = self.clock.wall()
         address = self.addresses(name)[name]
         if name.startswith("engine-"):
             await self.fault(name, "leaving", seconds)
@@ -250,7 +258,7 @@
         await self._put(address, "/state", state)
 
     async def publish_vms(self) -> None:
-        """Write the rows by which the platform tells which VMs there are."""
+        """Write the rows of the platform's VM list."""
         addresses = self.addresses("")
         rows = {
             name: worker_row(
@@ -260,14 +268,14 @@
         }
         await write_rows(self._client, addresses["platform"], rows)
 
-    # What can be seen.
+    # Observed state.
 
     def outcome(self, name: str) -> Outcome:
         """Return how a draft, call or change ended."""
         return self._changes.get(name) or self.callers.outcome(name)
 
     async def n_runs(self, call: str) -> int:
-        """Return how often endpoints ran a call."""
+        """Return how often the endpoints ran a call."""
         body = self.callers.calls[call].body
         n_runs = 0
         for address in self.addresses(f"{SERVICE}-").values():
@@ -283,30 +291,34 @@
                 found[name] = (await self._get(address, "/readyz")).get("version", -1)
         return found
 
-    async def listed(self) -> dict[str, set[str]]:
-        """Return, for each running node, which nodes its address answer names."""
-        by_address = {str(a): name for name, a in self.addresses("node-").items()}
+    async def listed_nodes(self) -> dict[str, set[str]]:
+        """Return the nodes that each running node lists in its address answer."""
+        name_by_address = {
+            str(address): name for name, address in self.addresses("node-").items()
+        }
         found = {}
         for name, address in self.addresses("node-").items():
             if self.has_ended(name):
                 continue
             answer = await self._get(address, "/v1/addresses")
             entries = answer.get("addresses", [])
-            found[name] = {by_address.get(one["address"], "?") for one in entries}
+            found[name] = {
+                name_by_address.get(entry["address"], "?") for entry in entries
+            }
         return found
 
-    async def work_times(self, name: str) -> list[float]:
-        """Return when an engine or endpoint began work, on the wall clock."""
+    async def work_start_times(self, name: str) -> list[float]:
+        """Return the wall-clock times at which an engine or endpoint began work."""
         address = self.addresses(name)[name]
         if name.startswith("engine-"):
             started = await self._get(address, "/started")
-            return [float(one["at"]) for one in started["started"]]
+            return [float(run["at"]) for run in started["started"]]
         ledger = await self._get(address, "/ledger")
         return [float(run["at"]) for run in ledger["runs"]]
 
-    def left_at(self, name: str) -> float:
-        """Return when it first could be known that a process is leaving."""
-        return self._left_at[name]
+    def leaving_announced_at(self, name: str) -> float:
+        """Return the earliest wall-clock time at which a leaving could be known."""
+        return self._leaving_announced_at[name]
 
     async def _get(self, address: Address, path: str) -> dict[str, Any]:
         deadline = self.clock.monotonic() + READY_SECONDS
@@ -324,6 +336,6 @@
             raise RuntimeError(f"{path} at {address}: {answer}")
 
     async def close_clients(self) -> None:
-        """End the callers and the driver's own connections."""
+        """Close the callers' and the driver's own connections."""
         await self.callers.close()
         self._client.close()
--- a/scenarios/language.py
+++ b/scenarios/language.py
@@ -1,4 +1,4 @@
-"""Reads scenarios; a bad line gets its file, line and reason."""
+"""Parses scenarios; a syntax error is reported with its file, line and column."""
 
 from __future__ import annotations
 
@@ -17,15 +17,15 @@
 
 
 class _Builder(Transformer[Token, Any]):
-    """Makes steps of the parser's trees."""
+    """Builds the steps from the parse tree; methods are named after grammar rules."""
 
     def __init__(self, name: str) -> None:
         super().__init__()
         self._name = name
 
     def start(self, items: list[Any]) -> steps.Scenario:
-        title, *found = items
-        return steps.Scenario(name=self._name, title=title, steps=tuple(found))
+        title, *scenario_steps = items
+        return steps.Scenario(name=self._name, title=title, steps=tuple(scenario_steps))
 
     def title(self, items: list[Token]) -> str:
         return str(items[0]).strip()
@@ -223,26 +223,26 @@
 
 
 def parse(text: str, name: str) -> Result[steps.Scenario, Finding]:
-    """Read one scenario.
+    """Parse one scenario.
 
     Parameters
     ----------
     text : str
-        What the file holds.
+        Content of the file.
     name : str
-        The file's name, the place of a finding.
+        Name of the file, which is the place of a finding.
     """
     try:
-        # The first line may be a comment, and comments belong to line ends; so a line
-        # end goes before it, which `_line` takes off again.
+        # In the grammar a comment is part of a line end, and the first line may be a
+        # comment; so the text starts with one more line end, which `_line` subtracts.
         tree = _PARSER.parse(f"\n{text.rstrip()}\n")
         scenario: steps.Scenario = _Builder(name).transform(tree)
     except UnexpectedInput as exc:
         line = max(exc.line - 1, 0)
         lines = text.splitlines()
-        shown = lines[line - 1].strip() if 0 < line <= len(lines) else "its end"
+        shown = lines[line - 1].strip() if 0 < line <= len(lines) else "end of file"
         column = max(exc.column, 1)
-        problem = f"no sentence goes on so from column {column}: {shown!r}"
+        problem = f"syntax error at column {column}: {shown!r}"
         return Err(Finding(place=f"{name}:{line}", problem=problem))
     except VisitError as exc:
         return Err(Finding(place=name, problem=str(exc.orig_exc)))
--- a/scenarios/memorydriver.py
+++ b/scenarios/memorydriver.py
@@ -1,8 +1,8 @@
-"""Runs a scenario with the node's own objects in one process, on a clock tests move.
+"""Runs a scenario's nodes and stand-ins in one process on virtual time.
 
-Stand-ins and nodes share one loop and talk over the network in memory. A frozen
-process here is one that nothing reaches and that reaches nobody, while its own timers
-go on; real freezes are for the driver with real processes.
+Nodes and stand-ins share one event loop and connect over the network in memory. A
+frozen process here neither receives nor sends anything, but its timers keep running;
+only the driver with real processes suspends a process entirely.
 """
 
 from __future__ import annotations
@@ -26,18 +26,18 @@
 from .httpdriver import FAILURE_DOMAINS, HttpDriver
 from .memorynetwork import Wires
 
-SECRET = SigningKey(key_id="k1", secret=bytes(range(32)))
+SIGNING_KEY = SigningKey(key_id="k1", secret=bytes(range(32)))
 CALLER_PORT = 7100
 PEER_PORT = 7101
 STANDIN_PORT = 7000
-HOSTS = {"node": 1, "engine": 2, SERVICE: 3, "platform": 4}
+HOST_OCTETS = {"node": 1, "engine": 2, SERVICE: 3, "platform": 4}
 TOKENS_PER_SECOND = 50.0
 N_MEMORY_TOKENS = 20_000
 
 
 @dataclass(kw_only=True)
 class _Process:
-    """One process of the scenario."""
+    """One simulated process of the scenario: its addresses, objects and state."""
 
     address: Address
     peer: Address | None = None
@@ -50,23 +50,23 @@
 
 
 class MemoryDriver(HttpDriver):
-    """A driver whose processes live in this one.
+    """A driver that simulates all processes in the current process.
 
     Parameters
     ----------
     seed : int
-        Of all random choices.
+        Seed of all random choices.
     """
 
     def __init__(self, *, seed: int = 1) -> None:
-        self._wires = Wires(rng=random.Random(seed))
+        self._fabric = Wires(rng=random.Random(seed))
         super().__init__(
-            network=self._wires.process("callers"), clock=LoopClock(), seed=seed
+            network=self._fabric.process("callers"), clock=LoopClock(), seed=seed
         )
         self._processes: dict[str, _Process] = {}
 
     async def start_all(self, n_nodes: int, n_engines: int, n_endpoints: int) -> None:
-        """Start everything and put a first document in force."""
+        """Start all processes and bring an initial document into force."""
         await self.start_one("platform")
         for number in range(1, n_engines + 1):
             await self.start_one(f"engine-{number}")
@@ -74,12 +74,12 @@
             await self.start_one(f"{SERVICE}-{number}")
         for number in range(1, n_nodes + 1):
             await self.start_one(f"node-{number}")
-        await self.put_first_document()
+        await self.publish_initial_document()
 
     async def start_one(self, name: str) -> None:
-        """Start one more process, or a dead one anew."""
+        """Start one more process, or restart a dead one."""
         kind, _, number = name.partition("-")
-        host = f"10.0.{HOSTS[kind]}.{number or 1}"
+        host = f"10.0.{HOST_OCTETS[kind]}.{number or 1}"
         if kind == "node":
             await self._start_node(name, host, int(number))
         else:
@@ -89,42 +89,43 @@
         """Kill, freeze, thaw or stop a process."""
         process = self._processes[name]
         if action == "freeze":
-            self._wires.freeze(name)
+            self._fabric.freeze(name)
         elif action == "thaw":
-            self._wires.thaw(name)
+            self._fabric.thaw(name)
         elif action == "kill":
             process.has_ended = True
-            self._wires.kill(name)
-            await self._end(process)
+            self._fabric.kill(name)
+            await self._shut_down(process)
         else:
             assert process.node is not None
             if process.is_stopping:
-                # The daemon takes no note of a second signal; real ones tell whether.
+                # The daemon ignores a second stop signal; scenarios with real processes
+                # check that.
                 return
             process.is_stopping = True
             leaving = asyncio.create_task(self._leave(process))
             process.tasks.append(leaving)
 
     async def cut(self, sender: str, receiver: str, *, is_both_ways: bool) -> None:
-        """Hold what goes from one process to another."""
-        self._wires.cut(sender, receiver)
+        """Hold what one process sends to another."""
+        self._fabric.cut(sender, receiver)
         if is_both_ways:
-            self._wires.cut(receiver, sender)
+            self._fabric.cut(receiver, sender)
 
     async def heal(self) -> None:
-        """Take all cuts away."""
-        self._wires.heal()
+        """Remove all cuts."""
+        self._fabric.heal()
 
     async def drop_datagrams(self, share: float) -> None:
-        """Drop a share of the nodes' datagrams."""
-        self._wires.dropped_share = share
+        """Drop a share, from 0 to 1, of the nodes' datagrams."""
+        self._fabric.dropped_share = share
 
-    async def jump(self, name: str, seconds: float) -> None:
-        """Move a node's wall clock."""
+    async def shift_clock(self, name: str, seconds: float) -> None:
+        """Shift a node's wall clock by ``seconds``."""
         self._processes[name].clock.wall_offset += seconds
 
     def addresses(self, prefix: str) -> Mapping[str, Address]:
-        """Return the processes whose names begin so, with where they listen."""
+        """Return the listen addresses of the processes whose names have a prefix."""
         return {
             name: process.address
             for name, process in self._processes.items()
@@ -132,7 +133,7 @@
         }
 
     def peer_addresses(self) -> Mapping[str, Address]:
-        """Return where nodes listen for one another."""
+        """Return the addresses at which nodes listen for their peers."""
         return {
             name: process.peer
             for name, process in self._processes.items()
@@ -140,7 +141,7 @@
         }
 
     def versions_now(self) -> dict[str, int]:
-        """Return the version in force at each node, without asking over the network."""
+        """Return the version in force at each running node, without a request."""
         return {
             name: process.node.sync.version
             for name, process in self._processes.items()
@@ -152,12 +153,12 @@
         return self._processes[name].has_ended
 
     async def close(self) -> None:
-        """End everything that was started."""
+        """Stop all processes and close all connections."""
         await self.close_clients()
-        self._wires.heal()
+        self._fabric.heal()
         for process in self._processes.values():
             if not process.has_ended:
-                await self._end(process)
+                await self._shut_down(process)
 
     async def _start_node(self, name: str, host: str, number: int) -> None:
         address = Address(host=host, port=CALLER_PORT)
@@ -171,8 +172,8 @@
             peer_listen=peer,
             platform=(self._processes["platform"].address,),
             seeds=tuple(self.peer_addresses().values())[:3],
-            ticket_keys=(SECRET,),
-            peer_keys=(SECRET,),
+            ticket_keys=(SIGNING_KEY,),
+            peer_keys=(SIGNING_KEY,),
             answer_seconds=5.0,
             queue_seconds=20.0,
             generation_seconds=1_800.0,
@@ -185,7 +186,7 @@
             cfg=cfg,
             clock=process.clock,
             rng=random.Random(self._rng.getrandbits(32)),
-            network=self._wires.process(name),
+            network=self._fabric.process(name),
         )
         await process.node.start()
         self._processes[name] = process
@@ -193,7 +194,7 @@
     async def _start_standin(self, name: str, kind: str, host: str) -> None:
         address = Address(host=host, port=STANDIN_PORT)
         process = _Process(address=address)
-        network = self._wires.process(name)
+        network = self._fabric.process(name)
         if kind == "engine":
             batch = Batch(
                 engine=name,
@@ -202,7 +203,8 @@
                 tokens_per_second=TOKENS_PER_SECOND,
                 n_memory_tokens=N_MEMORY_TOKENS,
             )
-            # As the document says, so that no engine drains to be loaded anew.
+            # The version in the document; with any other the engine would drain to be
+            # reloaded.
             batch.version = "1"
             server, task = await engines.serve(
                 listen=address, batch=batch, clock=process.clock, network=network
@@ -224,7 +226,7 @@
         await process.node.leave()
         process.has_ended = True
 
-    async def _end(self, process: _Process) -> None:
+    async def _shut_down(self, process: _Process) -> None:
         for task in process.tasks:
             task.cancel()
         if process.tasks:
--- a/scenarios/realdriver.py
+++ b/scenarios/realdriver.py
@@ -1,4 +1,4 @@
-"""Runs a scenario with real processes and real signals on this machine."""
+"""Runs a scenario with real processes and signals on this machine."""
 
 from __future__ import annotations
 
@@ -21,17 +21,17 @@
 }
 
 
-class NotOnRealLinksError(Exception):
-    """The step needs links that a driver with real processes can't disturb."""
+class UnsupportedStepError(Exception):
+    """The step disturbs links or clocks, which real processes do not allow."""
 
 
 class RealDriver(HttpDriver):
-    """A driver whose processes are real.
+    """A driver that starts real processes and sends them real signals.
 
     Parameters
     ----------
     folder : Path
-        Where their logs go.
+        Folder of the processes' logs.
     """
 
     def __init__(self, *, folder: Path) -> None:
@@ -39,7 +39,7 @@
         self._system = System(folder=folder, layout=Layout(answer_seconds=3.0))
 
     async def start_all(self, n_nodes: int, n_engines: int, n_endpoints: int) -> None:
-        """Start everything and put a first document in force."""
+        """Start all processes and bring an initial document into force."""
         self._system.layout = Layout(
             n_nodes=n_nodes,
             n_engines=n_engines,
@@ -47,10 +47,10 @@
             answer_seconds=3.0,
         )
         await self._system.start(has_console=False)
-        await self.put_first_document()
+        await self.publish_initial_document()
 
     async def start_one(self, name: str) -> None:
-        """Start one more process, or a dead one anew."""
+        """Start one more process, or restart a dead one."""
         kind, _, number = name.partition("-")
         if kind == "node":
             child = self._system.start_node(int(number))
@@ -67,23 +67,23 @@
         self._child(name).signal(SIGNALS[action])
 
     async def cut(self, sender: str, receiver: str, *, is_both_ways: bool) -> None:
-        """Refuse: real links stay whole."""
-        raise NotOnRealLinksError(f"cut {sender} {receiver}")
+        """Refuse the step: this driver does not disturb real links."""
+        raise UnsupportedStepError(f"cut {sender} {receiver}")
 
     async def heal(self) -> None:
-        """Refuse: real links stay whole."""
-        raise NotOnRealLinksError("heal")
+        """Refuse the step: this driver does not disturb real links."""
+        raise UnsupportedStepError("heal")
 
     async def drop_datagrams(self, share: float) -> None:
-        """Refuse: real links stay whole."""
-        raise NotOnRealLinksError("drop")
+        """Refuse the step: this driver does not disturb real links."""
+        raise UnsupportedStepError("drop")
 
-    async def jump(self, name: str, seconds: float) -> None:
-        """Refuse: the machine's clock is left alone."""
-        raise NotOnRealLinksError("jump")
+    async def shift_clock(self, name: str, seconds: float) -> None:
+        """Refuse the step: this driver does not change the machine's clock."""
+        raise UnsupportedStepError("jump")
 
     def addresses(self, prefix: str) -> Mapping[str, Address]:
-        """Return the processes whose names begin so, with where they listen."""
+        """Return the listen addresses of the processes whose names have a prefix."""
         return {
             name: child.address
             for name, child in self._system.children.items()
@@ -91,7 +91,7 @@
         }
 
     def peer_addresses(self) -> Mapping[str, Address]:
-        """Return where nodes listen for one another."""
+        """Return the addresses at which nodes listen for their peers."""
         return {
             name: child.peer
             for name, child in self._system.children.items()
@@ -103,7 +103,7 @@
         return self._child(name).process.poll() is not None
 
     async def close(self) -> None:
-        """End everything that was started."""
+        """Stop all processes and close all connections."""
         await self.close_clients()
         self._system.stop()
 
--- a/scenarios/runner.py
+++ b/scenarios/runner.py
@@ -1,4 +1,4 @@
-"""Runs a scenario's steps and says, with its line, what did not hold."""
+"""Runs a scenario's steps and reports each failed expectation with its line."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
     Parameters
     ----------
     driver : Driver
-        Starts the processes and watches them.
+        Starts, disturbs and observes the processes.
     """
 
     def __init__(self, *, driver: Driver) -> None:
@@ -29,7 +29,7 @@
         self._findings: list[str] = []
 
     async def run(self, scenario: steps.Scenario) -> tuple[Finding, ...]:
-        """Run all steps; an expectation that fails does not end the run."""
+        """Run all steps and return the findings; the run continues after a failure."""
         findings: list[Finding] = []
         try:
             for step in scenario.steps:
@@ -38,7 +38,7 @@
                     async with asyncio.timeout(MAX_STEP_SECONDS):
                         await self._do(step)
                 except TimeoutError:
-                    self._findings.append(f"took over {MAX_STEP_SECONDS:.0f} s")
+                    self._findings.append(f"took more than {MAX_STEP_SECONDS:.0f} s")
                 place = f"{scenario.name}:{step.line}"
                 findings += [
                     Finding(place=place, problem=problem) for problem in self._findings
@@ -49,7 +49,7 @@
         return tuple(findings)
 
     def _check_tokens(self, scenario: steps.Scenario) -> list[Finding]:
-        """Check every draft against the oracle, whatever the scenario expects."""
+        """Check the tokens of every draft, whatever the scenario expects."""
         return [
             Finding(place=f"{scenario.name}: draft {name}", problem=wrong)
             for name in self._driver.callers.drafts
@@ -58,7 +58,7 @@
 
     @singledispatchmethod
     async def _do(self, step: steps.Step) -> None:
-        raise TypeError(f"no rule for {step!r}")
+        raise TypeError(f"no handler for step {step!r}")
 
     @_do.register
     async def _(self, step: steps.StartAll) -> None:
@@ -141,11 +141,11 @@
 
     @_do.register
     async def _(self, step: steps.SayLeaving) -> None:
-        await self._driver.say_leaving(step.process, step.seconds)
+        await self._driver.announce_leaving(step.process, step.seconds)
 
     @_do.register
     async def _(self, step: steps.Jump) -> None:
-        await self._driver.jump(step.process, step.seconds)
+        await self._driver.shift_clock(step.process, step.seconds)
 
     @_do.register
     async def _(self, step: steps.Pass) -> None:
@@ -157,7 +157,9 @@
         n_tokens = len(self._driver.callers.drafts[step.draft].draft.tokens)
         if n_tokens < step.n_tokens:
             outcome = self._driver.callers.outcome(step.draft)
-            self._findings.append(f"{step.draft} ended at {n_tokens}: {outcome}")
+            self._findings.append(
+                f"{step.draft} ended after {n_tokens} tokens: {outcome}"
+            )
 
     @_do.register
     async def _(self, step: steps.WaitEnd) -> None:
@@ -171,61 +173,61 @@
     @_do.register
     async def _(self, step: steps.ExpectOutcome) -> None:
         outcome = self._driver.outcome(step.name)
-        is_kind = outcome.kind == step.outcome
-        if not is_kind or step.reason not in ("", outcome.reason):
+        has_expected_kind = outcome.kind == step.outcome
+        if not has_expected_kind or step.reason not in ("", outcome.reason):
             self._findings.append(f"{step.name} is {outcome.kind}: {outcome.reason}")
 
     @_do.register
     async def _(self, step: steps.ExpectRuns) -> None:
         n_runs = await self._driver.n_runs(step.call)
-        if not _holds(n_runs, step.comparison, step.n_runs):
+        if not _compare(n_runs, step.comparison, step.n_runs):
             self._findings.append(f"{step.call} ran {n_runs} times")
 
     @_do.register
     async def _(self, step: steps.ExpectTokens) -> None:
         n_tokens = len(self._driver.callers.drafts[step.draft].draft.tokens)
-        if not _holds(n_tokens, step.comparison, step.n_tokens):
+        if not _compare(n_tokens, step.comparison, step.n_tokens):
             self._findings.append(f"{step.draft} has {n_tokens} tokens")
 
     @_do.register
     async def _(self, step: steps.ExpectVersion) -> None:
         newest = self._driver.newest_version
         versions = await self._driver.versions()
-        wanted = versions if step.node == "everyone" else [step.node]
-        for node in wanted:
+        nodes = versions if step.node == "everyone" else [step.node]
+        for node in nodes:
             if versions.get(node) != newest:
-                problem = f"{node} has version {versions.get(node)}, not {newest}"
+                problem = f"{node} has version {versions.get(node)}, expected {newest}"
                 self._findings.append(problem)
 
     @_do.register
     async def _(self, step: steps.ExpectEnded) -> None:
         if self._driver.has_ended(step.process) != step.has_ended:
-            word = "still runs" if step.has_ended else "has ended"
-            self._findings.append(f"{step.process} {word}")
+            state = "still runs" if step.has_ended else "has ended"
+            self._findings.append(f"{step.process} {state}")
 
     @_do.register
     async def _(self, step: steps.ExpectListed) -> None:
-        for node, listed in (await self._driver.listed()).items():
+        for node, listed in (await self._driver.listed_nodes()).items():
             if (step.process in listed) != step.is_listed:
-                self._findings.append(f"{node} answers with {sorted(listed)}")
+                self._findings.append(f"{node} lists {sorted(listed)}")
 
     @_do.register
     async def _(self, step: steps.ExpectNoNewWork) -> None:
-        left_at = self._driver.left_at(step.process)
+        announced_at = self._driver.leaving_announced_at(step.process)
         late = [
-            at - left_at
-            for at in await self._driver.work_times(step.process)
-            if at > left_at + step.seconds
+            began_at - announced_at
+            for began_at in await self._driver.work_start_times(step.process)
+            if began_at > announced_at + step.seconds
         ]
         if late:
             self._findings.append(
-                f"{step.process} got new work {late[0]:.2f} s after it left"
+                f"{step.process} got new work {late[0]:.2f} s after it began to leave"
             )
 
 
-def _holds(found: int, comparison: steps.Comparison, wanted: int) -> bool:
+def _compare(actual: int, comparison: steps.Comparison, expected: int) -> bool:
     if comparison == "exactly":
-        return found == wanted
+        return actual == expected
     if comparison == "at most":
-        return found <= wanted
-    return found >= wanted
+        return actual <= expected
+    return actual >= expected
--- a/scenarios/steps.py
+++ b/scenarios/steps.py
@@ -1,4 +1,4 @@
-"""The steps that a scenario is made of, each with the line it stands on."""
+"""The steps of a scenario, each with its line in the file."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class StartAll(Step):
-    """Start a whole system and put a first document in force."""
+    """Start a whole system and bring an initial document into force."""
 
     n_nodes: int
     n_engines: int
@@ -33,7 +33,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class AskDraft(Step):
-    """Ask for a streamed generation; it goes on while further steps run."""
+    """Request a streamed generation, which continues while further steps run."""
 
     organisation: str
     node: str
@@ -43,7 +43,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class File(Step):
-    """Make a call that may not be repeated; it goes on while further steps run."""
+    """Make a non-idempotent call, which continues while further steps run."""
 
     organisation: str
     node: str
@@ -54,7 +54,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class AskStatus(Step):
-    """Ask a node what became of a key."""
+    """Request the status of an idempotency key from a node."""
 
     organisation: str
     node: str
@@ -64,7 +64,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Resume(Step):
-    """Take up a draft at another node, behind its last event."""
+    """Resume a draft at another node, after its last event."""
 
     draft: str
     node: str
@@ -80,14 +80,14 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Disconnect(Step):
-    """Let a draft's caller go away without a word."""
+    """Close the connection of a draft's caller without cancelling the draft."""
 
     draft: str
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class ChangeDocument(Step):
-    """Let an operator change an organisation's priority in the document."""
+    """Change an organisation's priority in the document, as an operator."""
 
     operator: str
     change: str
@@ -98,7 +98,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class DrainEngine(Step):
-    """Let an operator set an engine's or endpoint's role to drain."""
+    """Set the role of an engine or endpoint to drain, as an operator."""
 
     operator: str
     process: str
@@ -106,7 +106,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Signal(Step):
-    """Kill, freeze, thaw or stop a process, as signals do."""
+    """Kill, freeze, thaw or stop a process, as by a signal."""
 
     process: str
     action: Literal["kill", "freeze", "thaw", "stop"]
@@ -123,7 +123,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Heal(Step):
-    """Take all cuts away."""
+    """Remove all cuts."""
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
@@ -135,7 +135,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Fault(Step):
-    """Switch on a stand-in's fault by name; what it is called says its page."""
+    """Enable a stand-in's fault by its name in ``faultnames.FAULTS``."""
 
     process: str
     fault: str
@@ -144,21 +144,21 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class ClearFaults(Step):
-    """Switch off all faults of a stand-in."""
+    """Disable all faults of a stand-in."""
 
     process: str
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class ListLeaving(Step):
-    """Let the platform's VM list say that a process's VM is leaving."""
+    """Mark a process's VM as leaving in the platform's VM list."""
 
     process: str
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class SayLeaving(Step):
-    """Let an engine or endpoint report that it will leave."""
+    """Make an engine or endpoint report that it leaves in ``seconds``."""
 
     process: str
     seconds: float
@@ -166,7 +166,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Jump(Step):
-    """Let a node's wall clock jump."""
+    """Shift a node's wall clock by ``seconds``."""
 
     process: str
     seconds: float
@@ -174,14 +174,14 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Pass(Step):
-    """Let time pass."""
+    """Wait for ``seconds``."""
 
     seconds: float
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class WaitTokens(Step):
-    """Wait until a draft's caller has so many tokens."""
+    """Wait until a draft's caller has at least ``n_tokens`` tokens."""
 
     draft: str
     n_tokens: int
@@ -200,7 +200,7 @@
 
     ``outcome`` is ``whole``, ``cut``, ``answered``, ``replayed``, ``not run``,
     ``unknown``, ``in progress``, ``refused``, ``accepted`` or ``conflict``; ``reason``
-    is empty where any will do.
+    is empty where any reason is accepted.
     """
 
     name: str
@@ -210,7 +210,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class ExpectRuns(Step):
-    """Check how often the endpoints ran what a call asked for."""
+    """Check how often the endpoints ran a call."""
 
     call: str
     comparison: Comparison
@@ -219,7 +219,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class ExpectTokens(Step):
-    """Check how many tokens a draft's caller got."""
+    """Check how many tokens a draft's caller received."""
 
     draft: str
     comparison: Comparison
@@ -243,7 +243,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class ExpectListed(Step):
-    """Check whether the address answers of all running nodes name a node."""
+    """Check whether all running nodes list a node in their address answers."""
 
     process: str
     is_listed: bool
@@ -251,7 +251,10 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class ExpectNoNewWork(Step):
-    """Check that an engine or endpoint began no work after a time since it left."""
+    """Check that an engine or endpoint that leaves stops receiving new work.
+
+    The last work may begin ``seconds`` after its leaving could first be known.
+    """
 
     process: str
     seconds: float
@@ -259,7 +262,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Scenario:
-    """A whole scenario."""
+    """A scenario's file name, title and steps."""
 
     name: str
     title: str
--- a/scenarios/virtualtime.py
+++ b/scenarios/virtualtime.py
@@ -1,4 +1,4 @@
-"""Event loops on virtual time, made and ended as scenarios and fuzzing need them."""
+"""Event loops on virtual time for scenarios and fuzzing."""
 
 from __future__ import annotations
 
@@ -8,19 +8,19 @@
 
 
 def new_loop() -> asyncio.AbstractEventLoop:
-    """Return a loop whose time begins at 0 and passes only while it waits."""
+    """Return a loop whose time starts at 0 and advances only while the loop is idle."""
     loop: asyncio.AbstractEventLoop = looptime.new_event_loop()
-    # No real input is ever waited for here, so no cycle is spent on looking for it.
+    # Nothing here waits for real input, so no loop cycle is spent on polling for it.
     loop.setup_looptime(start=0, noop_cycles=0)  # type: ignore[attr-defined]
     return loop
 
 
 def close_loop(loop: asyncio.AbstractEventLoop) -> None:
-    """End what still waits, then close the loop.
+    """Cancel all pending tasks, then close the loop.
 
-    An exchange that a cut link holds, say, is still under way when a scenario ends.
-    Left to the garbage collector it would end at any later moment, in the middle of
-    another test.
+    A request that a cut link holds, for example, is still pending when a scenario
+    ends. The garbage collector would end it at an arbitrary later time, in the middle
+    of another test.
     """
     tasks = asyncio.all_tasks(loop)
     for task in tasks:
--- a/tests/test_memorynetwork.py
+++ b/tests/test_memorynetwork.py
@@ -1,4 +1,4 @@
-"""The network in memory carries what the real one does."""
+"""Streams, back pressure and faults of the network in memory."""
 
 from __future__ import annotations
 
@@ -18,8 +18,8 @@
 pytestmark = pytest.mark.looptime
 
 
-class LengthHandler(Handler):
-    """Answers with the body's length, streamed in pieces."""
+class RepeatingHandler(Handler):
+    """Streams 100 chunks, each as long as the request's body."""
 
     async def handle(self, req, res):
         res.start(200, {})
@@ -30,11 +30,11 @@
 
 @pytest.fixture
 async def pair():
-    wires = Wires(rng=random.Random(1))
-    server = HttpServer(handler=LengthHandler(), network=wires.process("server"))
+    fabric = Wires(rng=random.Random(1))
+    server = HttpServer(handler=RepeatingHandler(), network=fabric.process("server"))
     await server.start(SERVER)
-    client = HttpClient(network=wires.process("client"))
-    yield wires, client
+    client = HttpClient(network=fabric.process("client"))
+    yield fabric, client
     client.close()
     await server.close()
 
@@ -44,25 +44,27 @@
 
 
 class TestMemoryNetwork:
-    async def test_large_answers_pass_with_back_pressure(self, pair):
+    async def test_large_answers_arrive_under_back_pressure(self, pair):
         _, client = pair
         for _ in range(3):
             answer = await client.request(SERVER, "POST", "/", body=b"a" * 5000)
             assert len(answer.ok_value.body) == 500_000
 
-    async def test_killed_process_refuses(self, pair):
-        wires, client = pair
-        wires.kill("server")
+    async def test_killed_process_refuses_connections(self, pair):
+        fabric, client = pair
+        fabric.kill("server")
         answer = await client.request(SERVER, "GET", "/")
         assert answer.err_value.reason == "connect_refused"
 
-    async def test_cut_holds_until_it_is_healed(self, pair):
-        """A link stalls without breaking. Only the caller's own deadline tells."""
-        wires, client = pair
-        wires.cut("server", "client")
+    async def test_cut_holds_requests_until_healed(self, pair):
+        """A cut link stalls without breaking the connection, so that only the caller's
+        own deadline ends the request.
+        """
+        fabric, client = pair
+        fabric.cut("server", "client")
         answer = await client.request(SERVER, "GET", "/", deadline=deadline(5))
         assert isinstance(answer, Err)
         assert answer.err_value.reason == "timeout"
-        wires.heal()
+        fabric.heal()
         answer = await client.request(SERVER, "POST", "/", body=b"a")
         assert len(answer.ok_value.body) == 100
--- a/tests/test_scenario_language.py
+++ b/tests/test_scenario_language.py
@@ -1,4 +1,4 @@
-"""The language that scenarios are written in."""
+"""Parsing of the scenario language."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 
 class TestParse:
-    def test_steps_know_their_lines(self):
+    def test_steps_have_their_line_numbers(self):
         scenario = parse(SCENARIO, "kill.scn").ok_value
         assert scenario.title == "A node is killed in the middle of a draft."
         assert scenario.steps == (
@@ -40,7 +40,7 @@
         )
 
     @pytest.mark.parametrize(
-        ("good", "bad", "line"),
+        ("valid", "invalid", "line"),
         [
             ("Kill node-1.", "Killl node-1.", 7),
             ("Kill node-1.", "Kill node-1", 7),
@@ -48,13 +48,13 @@
             ("Scenario:", "Scene:", 2),
         ],
     )
-    def test_bad_line_gets_its_file_line_and_reason(self, good, bad, line):
-        """A newcomer mistypes a sentence. Were the line not named, the whole file
-        would have to be searched.
+    def test_syntax_error_names_file_line_and_reason(self, valid, invalid, line):
+        """A step has a typing error. Without the line in the finding, the whole file
+        would have to be searched for it.
         """
-        finding = parse(SCENARIO.replace(good, bad), "kill.scn").err_value
+        finding = parse(SCENARIO.replace(valid, invalid), "kill.scn").err_value
         assert finding.place == f"kill.scn:{line}"
-        assert "no sentence goes on so" in finding.problem
+        assert "syntax error at column" in finding.problem
 
     @settings(max_examples=200, derandomize=True, deadline=None)
     @given(
