--- a/tests/test_scenarios.py
+++ b/tests/test_scenarios.py
@@ -1,4 +1,4 @@
-"""Every scenario, run in one process on virtual time."""
+"""All scenario files, run in one process on virtual time."""
 
 from __future__ import annotations
 
@@ -15,18 +15,18 @@
 
 class TestScenarios:
     @pytest.mark.parametrize("path", FILES, ids=[path.stem for path in FILES])
-    def test_holds(self, path):
+    def test_scenario_has_no_findings(self, path):
         scenario = parse(path.read_text(encoding="utf-8"), path.name).unwrap()
         assert run_in_memory(scenario) == ()
 
-    def test_there_are_scenarios(self):
+    def test_scenario_files_exist(self):
         assert FILES
 
 
 class TestRunner:
-    def test_a_wrong_expectation_is_found_with_its_line(self):
-        """A scenario expects what does not happen. Were that passed over, no scenario
-        would prove anything.
+    def test_failed_expectation_is_reported_with_its_line(self):
+        """Each expectation of the scenario fails and gives a finding with its line. A
+        runner that ignored failed expectations would let any scenario pass.
         """
         text = (
             "Scenario: All is expected wrongly.\n"
