--- a/bench/fleet.py
+++ b/bench/fleet.py
@@ -1,7 +1,8 @@
-"""A whole fleet in virtual time: real nodes, model engines that come and go, callers.
+"""Simulates a whole fleet in virtual time: nodes, engines that come and go, callers.
 
-The nodes are the relay's own, over a network in memory; only the engines, the store and
-the callers are stand-ins. So what is measured is what the product decides and sends.
+The nodes are real relay nodes on an in-memory network; only the engines, the store and
+the callers are stand-ins. The results therefore measure the product's own decisions and
+traffic.
 """
 
 from __future__ import annotations
@@ -12,8 +13,8 @@
 from collections import Counter
 from dataclasses import dataclass, field, replace
 
-from bench.fleetcallers import Caller, Ending, arrival_number
-from bench.fleetload import Arrival, FleetLoad, arrivals
+from bench.fleetcallers import Caller, RequestResult, parse_request_number
+from bench.fleetload import Arrival, FleetLoad, draw_arrivals
 from celerytrail.clock import LoopClock
 from celerytrail.platform.nodesettings import RelaySettings
 from celerytrail.policies.placing import PlacementPolicy
@@ -28,26 +29,29 @@
 HOST = "desk.example"
 KEY = "key-of-org"
 SERVICE = "models"
-# One way between two processes, in seconds.
+# One-way network delay between two processes, in seconds.
 DELAY_SECONDS = 0.001
-# Nodes find one another and read the configuration before traffic starts, in seconds.
+# Time for nodes to discover each other and read the configuration before traffic, in
+# seconds.
 WARM_UP_SECONDS = 6.0
 
 
 @dataclass(frozen=True, kw_only=True)
 class Variation:
-    """What differs between two plays of the same load.
+    """Settings in which two simulations of the same workload differ.
 
     Parameters
     ----------
     placing : PlacementPolicy or None
-        The policy that places; the product's own by default.
+        The placement policy; the product's default if None.
     can_move, can_back_up : bool
-        Whether engines allow runs to be moved, and copied as they grow.
+        Whether engines allow migration of runs, and replication of a run's memory
+        as it grows.
     dropped_share : float
-        Share of the nodes' datagrams that are lost.
+        Share of the nodes' datagrams that the network drops.
     frozen : tuple of (str, float, float) or None
-        A node that stands still, from when on and for how many seconds.
+        A node to freeze: its name, the start in seconds from the start of traffic, and
+        the duration in seconds.
     """
 
     placing: PlacementPolicy | None = None
@@ -59,34 +63,34 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Costs:
-    """What the nodes sent and used, all together, up to a moment.
+    """Cumulative costs of all nodes together at one instant.
 
     Parameters
     ----------
     at : float
-        Virtual time, in seconds.
+        Virtual time of the reading, in seconds.
     processor_seconds : float
-        Of the whole play, stand-ins and callers included.
-    n_news, news_bytes : int
-        Datagrams of news of runs, and their bytes with the heads of IP and UDP.
+        Processor time of the whole simulation, with its stand-ins and callers.
+    n_updates, update_bytes : int
+        Datagrams with updates on runs, and their bytes with IP and UDP headers.
     gossip_bytes : int
-        Bytes of membership.
+        Bytes of membership gossip.
     n_store_calls : int
-        Calls of the store.
+        Calls to the store.
     """
 
     at: float = 0.0
     processor_seconds: float = 0.0
-    n_news: int = 0
-    news_bytes: int = 0
+    n_updates: int = 0
+    update_bytes: int = 0
     gossip_bytes: int = 0
     n_store_calls: int = 0
 
-    def since(self, former: Costs) -> Costs:
-        """Return what was added after an earlier moment; ``at`` becomes the time."""
+    def since(self, earlier: Costs) -> Costs:
+        """Return the costs since an earlier reading; ``at`` is the elapsed time."""
         return Costs(
             **{
-                name: getattr(self, name) - getattr(former, name)
+                name: getattr(self, name) - getattr(earlier, name)
                 for name in self.__dataclass_fields__
             }
         )
@@ -94,43 +98,45 @@
 
 @dataclass(kw_only=True)
 class FleetResult:
-    """What a play gave.
+    """Holds the results of one simulation.
 
     Parameters
     ----------
-    endings : list of Ending
-        What became of each request.
+    request_results : list of RequestResult
+        The result of each request, in the order of arrival.
     n_read, n_read_again, n_preempted : int
-        Prompt tokens read, those read again after a preemption, and preemptions.
+        Prompt tokens read in prefill, those read again after a preemption, and the
+        number of preemptions.
     moved_bytes : float
-        Memory copied between engines.
-    twice : list of str
-        Attempts that may not be repeated and were begun at more than one engine.
-    start, traffic : Costs
-        What the nodes cost until traffic began, and while it lasted.
+        Bytes of run memory copied between engines.
+    repeated_attempts : list of str
+        Attempts of requests that aren't resumable and were started at more than one
+        engine.
+    start_costs, traffic_costs : Costs
+        Costs of the nodes before traffic starts, and while it lasts.
     """
 
-    endings: list[Ending] = field(default_factory=list)
+    request_results: list[RequestResult] = field(default_factory=list)
     n_read: int = 0
     n_read_again: int = 0
     n_preempted: int = 0
     moved_bytes: float = 0.0
-    twice: list[str] = field(default_factory=list)
-    start: Costs = field(default_factory=Costs)
-    traffic: Costs = field(default_factory=Costs)
+    repeated_attempts: list[str] = field(default_factory=list)
+    start_costs: Costs = field(default_factory=Costs)
+    traffic_costs: Costs = field(default_factory=Costs)
 
 
-class Fleet:
-    """One play of a load.
+class FleetSimulation:
+    """Simulates one workload on one fleet.
 
     Parameters
     ----------
     load : FleetLoad
-        What comes.
+        The workload.
     variation : Variation
-        What differs from the product as it is shipped.
+        Settings that differ from the product's defaults.
     seed : int
-        Of all chance.
+        Seed of all random draws.
     """
 
     def __init__(self, *, load: FleetLoad, variation: Variation, seed: int) -> None:
@@ -138,17 +144,17 @@
         self._variation = variation
         self._rng = random.Random(seed)
         self._seed = seed
-        self._wires = Wires(rng=random.Random(seed), delay=DELAY_SECONDS)
-        self._store = RowStore(network=self._wires.process("store"))
+        self._network = Wires(rng=random.Random(seed), delay=DELAY_SECONDS)
+        self._store = RowStore(network=self._network.process("store"))
         self._engines: dict[str, ModelWorker] = {}
-        self._lost: list[ModelWorker] = []
+        self._reclaimed: list[ModelWorker] = []
         self._nodes: list[RelayNode] = []
         self._n_engines = 0
         self._spec = EngineSpec(n_memory_tokens=load.engines.n_memory_tokens)
         self.result = FleetResult()
 
-    async def play(self) -> FleetResult:
-        """Play the load to its last answer."""
+    async def run(self) -> FleetResult:
+        """Run the workload until its last response ends."""
         store = await self._store.start()
         self._store.put("op", "config", self._config())
         for zone in self._load.zones:
@@ -159,44 +165,44 @@
         await asyncio.sleep(WARM_UP_SECONDS)
         if not all(node.is_ready for node in self._nodes):
             raise RuntimeError("not all nodes are ready")
-        troubles = [asyncio.ensure_future(self._reclaim())]
-        self._wires.dropped_share = self._variation.dropped_share
+        faults = [asyncio.ensure_future(self._reclaim_engines())]
+        self._network.dropped_share = self._variation.dropped_share
         if self._variation.frozen is not None:
-            troubles.append(asyncio.ensure_future(self._freeze()))
-        coming = arrivals(self._load, self._spec.n_event_tokens, self._seed)
+            faults.append(asyncio.ensure_future(self._freeze_node()))
+        drawn = draw_arrivals(self._load, self._spec.n_event_tokens, self._seed)
         started_at = asyncio.get_running_loop().time()
-        self.result.start = self._costs()
-        asked = [self._ask(arrival, started_at) for arrival in coming]
-        traffic_ends = asyncio.ensure_future(self._await_end(started_at))
-        self.result.endings = list(await asyncio.gather(*asked))
-        await traffic_ends
-        for trouble in troubles:
-            trouble.cancel()
-        self._sum_up()
+        self.result.start_costs = self._costs()
+        requests = [self._send_request(arrival, started_at) for arrival in drawn]
+        traffic_end = asyncio.ensure_future(self._record_traffic_costs(started_at))
+        self.result.request_results = list(await asyncio.gather(*requests))
+        await traffic_end
+        for fault in faults:
+            fault.cancel()
+        self._collect_totals()
         for node in self._nodes:
             await node.close()
         return self.result
 
-    async def _await_end(self, started_at: float) -> None:
+    async def _record_traffic_costs(self, started_at: float) -> None:
         loop = asyncio.get_running_loop()
         await asyncio.sleep(started_at + self._load.seconds - loop.time())
-        self.result.traffic = self._costs().since(self.result.start)
+        self.result.traffic_costs = self._costs().since(self.result.start_costs)
 
     def _costs(self) -> Costs:
         nodes = self._nodes
         return Costs(
             at=asyncio.get_running_loop().time(),
             processor_seconds=time.process_time(),
-            n_news=sum(node.peer_updates.n_sent for node in nodes),
-            news_bytes=sum(node.peer_updates.n_sent_bytes for node in nodes),
+            n_updates=sum(node.peer_updates.n_sent for node in nodes),
+            update_bytes=sum(node.peer_updates.n_sent_bytes for node in nodes),
             gossip_bytes=sum(node.nodes.gossip.n_sent_bytes for node in nodes),
             n_store_calls=self._store.n_calls,
         )
 
-    def _sum_up(self) -> None:
-        begun: Counter[str] = Counter()
-        for engine in (*self._engines.values(), *self._lost):
-            begun.update(engine.begun)
+    def _collect_totals(self) -> None:
+        n_starts_by_attempt: Counter[str] = Counter()
+        for engine in (*self._engines.values(), *self._reclaimed):
+            n_starts_by_attempt.update(engine.begun)
             totals = engine.model.totals
             self.result.n_read += totals.n_read
             self.result.n_read_again += totals.n_read_again
@@ -204,16 +210,16 @@
             self.result.moved_bytes += engine.link.n_bytes
         repeatable = {
             number
-            for number, ending in enumerate(self.result.endings)
-            if ending.kind.resumable
+            for number, res in enumerate(self.result.request_results)
+            if res.kind.resumable
         }
-        self.result.twice = [
+        self.result.repeated_attempts = [
             attempt
-            for attempt, n_begun in begun.items()
-            if n_begun > 1 and arrival_number(attempt) not in repeatable
+            for attempt, n_starts in n_starts_by_attempt.items()
+            if n_starts > 1 and parse_request_number(attempt) not in repeatable
         ]
 
-    # What there is.
+    # Setup of the configuration, the engines and the nodes.
 
     def _config(self) -> dict[str, object]:
         spec = self._spec
@@ -260,19 +266,19 @@
             worker_id=name,
             failure_domain=zone,
             spec=spec,
-            find=self._find,
-            network=self._wires.process(name),
+            find=self._find_engine,
+            network=self._network.process(name),
         )
         await engine.start()
         self._engines[name] = engine
-        self._write_row(engine, "ready")
+        self._write_engine_row(engine, "ready")
 
-    def _write_row(self, engine: ModelWorker, state: str) -> None:
-        facts = {"zone": engine.failure_domain, "slots": self._spec.n_slots}
-        row = engine.row(SERVICE, state, **facts)
+    def _write_engine_row(self, engine: ModelWorker, state: str) -> None:
+        columns = {"zone": engine.failure_domain, "slots": self._spec.n_slots}
+        row = engine.row(SERVICE, state, **columns)
         self._store.put("servers", engine.worker_id, row)
 
-    def _find(self, address: str) -> ModelWorker | None:
+    def _find_engine(self, address: str) -> ModelWorker | None:
         for engine in self._engines.values():
             if str(engine.address) == address:
                 return engine
@@ -297,7 +303,7 @@
         )
         node = RelayNode(
             cfg=cfg,
-            network=self._wires.process(name),
+            network=self._network.process(name),
             rng=random.Random(f"{self._seed}:{name}"),
             clock=LoopClock(),
             placing=self._variation.placing,
@@ -305,60 +311,60 @@
         await node.start()
         self._nodes.append(node)
 
-    # What happens.
+    # Requests and faults during the simulation.
 
-    async def _ask(self, arrival: Arrival, started_at: float) -> Ending:
+    async def _send_request(self, arrival: Arrival, started_at: float) -> RequestResult:
         loop = asyncio.get_running_loop()
         await asyncio.sleep(started_at + arrival.at - loop.time())
         node = self._rng.choice(self._nodes)
         assert node.cfg.callers is not None
         caller = Caller(
             arrival=arrival,
-            network=self._wires.process("callers"),
+            network=self._network.process("callers"),
             host=HOST,
             key=KEY,
         )
-        return await caller.ask(node.cfg.callers)
+        return await caller.send(node.cfg.callers)
 
-    async def _reclaim(self) -> None:
-        """Take engines away, one after another, and let others come."""
-        fleet = self._load.engines
-        while fleet.reclaim_every > 0:
-            await asyncio.sleep(fleet.reclaim_every)
+    async def _reclaim_engines(self) -> None:
+        """Reclaim random engines at regular intervals; replacements follow."""
+        engines = self._load.engines
+        while engines.reclaim_every > 0:
+            await asyncio.sleep(engines.reclaim_every)
             ready = [
                 engine for engine in self._engines.values() if engine.leaves_at is None
             ]
-            asyncio.ensure_future(self._take_away(self._rng.choice(ready)))
+            asyncio.ensure_future(self._reclaim_engine(self._rng.choice(ready)))
 
-    async def _freeze(self) -> None:
-        """Let a node stand still for a while; nothing reaches it or comes from it."""
+    async def _freeze_node(self) -> None:
+        """Freeze a node for a while; it neither receives nor sends anything."""
         assert self._variation.frozen is not None
         name, at, seconds = self._variation.frozen
         await asyncio.sleep(at)
-        self._wires.freeze(name)
+        self._network.freeze(name)
         await asyncio.sleep(seconds)
-        self._wires.thaw(name)
+        self._network.thaw(name)
 
-    async def _take_away(self, engine: ModelWorker) -> None:
-        fleet = self._load.engines
-        notice = self._rng.uniform(*fleet.notice)
+    async def _reclaim_engine(self, engine: ModelWorker) -> None:
+        engines = self._load.engines
+        notice = self._rng.uniform(*engines.notice)
         engine.leaves_at = asyncio.get_running_loop().time() + notice
         if notice:
-            self._write_row(engine, "draining")
+            self._write_engine_row(engine, "draining")
             await asyncio.sleep(notice)
-        self._wires.kill(engine.worker_id)
+        self._network.kill(engine.worker_id)
         await engine.close()
-        self._lost.append(self._engines.pop(engine.worker_id))
+        self._reclaimed.append(self._engines.pop(engine.worker_id))
         self._store.drop("servers", engine.worker_id)
-        await asyncio.sleep(max(0.0, fleet.replace_after - notice))
+        await asyncio.sleep(max(0.0, engines.replace_after - notice))
         await self._add_engine(engine.failure_domain)
 
 
-def play(load: FleetLoad, variation: Variation, seed: int) -> FleetResult:
-    """Play a load on a loop of its own in virtual time."""
+def simulate(load: FleetLoad, variation: Variation, seed: int) -> FleetResult:
+    """Simulate a workload on a separate event loop in virtual time."""
     loop = new_loop()
     try:
-        fleet = Fleet(load=load, variation=variation, seed=seed)
-        return loop.run_until_complete(fleet.play())
+        simulation = FleetSimulation(load=load, variation=variation, seed=seed)
+        return loop.run_until_complete(simulation.run())
     finally:
         close_loop(loop)
--- a/bench/fleetcompare.py
+++ b/bench/fleetcompare.py
@@ -1,4 +1,4 @@
-"""Plays workloads with several policies side by side: a table, JSON and a picture."""
+"""Compares policies on the same workloads; writes a table, JSON and a chart."""
 
 from __future__ import annotations
 
@@ -12,8 +12,8 @@
 import matplotlib
 import typer
 
-from bench.fleet import FleetResult, play
-from bench.fleetcallers import N_EVENT_TOKENS, Ending
+from bench.fleet import FleetResult, simulate
+from bench.fleetcallers import N_EVENT_TOKENS, RequestResult
 from bench.fleetload import read_load
 from bench.fleetplacing import VARIATIONS
 
@@ -21,34 +21,38 @@
 from matplotlib import pyplot as plt  # noqa: E402
 
 LOADS = Path(__file__).parent / "loads"
-# Shares of worth: an answer that comes late is worth little, as on the users' sheets.
+# Share of its worth that a late response earns: users expect it to be worth little.
 LATE_SHARE = 0.15
-# A generation is worth this much, and the rest by its size against the mean.
+# Share of a request's worth that doesn't depend on its size; the rest is proportional
+# to its size relative to the mean.
 BASE_SHARE = 0.3
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Measures:
-    """What one play of a load gave; times in seconds.
+    """Summarises one simulation of a workload; times are in seconds.
 
     Parameters
     ----------
     load, policy, seed
-        What was played.
+        The workload, the policy and the seed.
     worth : float
-        Share of what all requests are worth that was earned.
+        Earned share of the total worth of all requests.
     n_asked, n_late, n_refused, n_lost, n_wrong : int
-        Requests, and those that ended late, refused, cut or failed, or wrong.
+        All requests, and those that were late, refused, lost (cut or failed) or wrong.
     first_p95, gap_p99 : float
-        Until the first event; the longest pause of an answer.
+        95th percentile of the time to the first event, and 99th percentile of the
+        longest pause of a response.
     stall_seconds : float
-        By how much pauses were longer than allowed, of all answers.
+        Time by which longest pauses exceeded the allowed pause, summed over all
+        responses.
     token_ms : float
-        Milliseconds a token of the long answers.
+        Milliseconds per token after the first event, for the kind of request with the
+        highest worth.
     n_preempted, n_read_again : int
-        Preemptions, and tokens that were read again for them.
+        Preemptions, and prompt tokens read again after them.
     moved_gigabytes : float
-        Memory copied between engines.
+        Run memory copied between engines.
     """
 
     load: str
@@ -84,87 +88,95 @@
 
 
 def measure(load: str, policy: str, seed: int) -> Measures:
-    """Play a load once."""
-    result = play(read_load(LOADS / f"{load}.toml"), VARIATIONS[policy](), seed)
+    """Simulate a workload once."""
+    result = simulate(read_load(LOADS / f"{load}.toml"), VARIATIONS[policy](), seed)
     return summarise(load, policy, seed, result)
 
 
 def summarise(load: str, policy: str, seed: int, result: FleetResult) -> Measures:
-    """Return the measures of a play."""
-    ends = result.endings
-    answered = [end for end in ends if end.outcome in ("on time", "late")]
+    """Return the measures of a simulation."""
+    results = result.request_results
+    completed = [res for res in results if res.outcome in ("on time", "late")]
     counts = dict.fromkeys(("late", "refused", "cut", "failed", "wrong"), 0)
-    for end in ends:
-        if end.outcome in counts:
-            counts[end.outcome] += 1
+    for res in results:
+        if res.outcome in counts:
+            counts[res.outcome] += 1
     return Measures(
         load=load,
         policy=policy,
         seed=seed,
-        worth=earned(ends) / owed(ends),
-        n_asked=len(ends),
+        worth=earned_worth(results) / total_worth(results),
+        n_asked=len(results),
         n_late=counts["late"],
         n_refused=counts["refused"],
         n_lost=counts["cut"] + counts["failed"],
         n_wrong=counts["wrong"],
-        first_p95=_share_point([end.first_seconds for end in answered], 0.95),
-        gap_p99=_share_point([end.longest_pause for end in answered], 0.99),
+        first_p95=_percentile([res.first_seconds for res in completed], 0.95),
+        gap_p99=_percentile([res.longest_pause for res in completed], 0.99),
         stall_seconds=sum(
-            max(0.0, end.longest_pause - end.kind.pause) for end in answered
+            max(0.0, res.longest_pause - res.kind.pause) for res in completed
         ),
-        token_ms=_token_ms(answered),
+        token_ms=_token_ms(completed),
         n_preempted=result.n_preempted,
         n_read_again=result.n_read_again,
         moved_gigabytes=result.moved_bytes / 1e9,
     )
 
 
-def worths(ends: list[Ending]) -> list[float]:
-    """Return what each request is worth: a part by itself, the rest by its size."""
+def request_worths(results: list[RequestResult]) -> list[float]:
+    """Return the worth of each request: a fixed part, and a part by its size."""
     means = {
-        name: statistics.mean(end.n_events for end in ends if end.kind.name == name)
-        for name in {end.kind.name for end in ends}
+        name: statistics.mean(res.n_events for res in results if res.kind.name == name)
+        for name in {res.kind.name for res in results}
     }
     return [
-        end.kind.worth
-        * (BASE_SHARE + (1 - BASE_SHARE) * min(4, end.n_events / means[end.kind.name]))
-        for end in ends
+        res.kind.worth
+        * (BASE_SHARE + (1 - BASE_SHARE) * min(4, res.n_events / means[res.kind.name]))
+        for res in results
     ]
 
 
-def owed(ends: list[Ending]) -> float:
-    """Return what all requests are worth."""
-    return sum(worths(ends))
+def total_worth(results: list[RequestResult]) -> float:
+    """Return the total worth of all requests."""
+    return sum(request_worths(results))
 
 
-def earned(ends: list[Ending]) -> float:
-    """Return what the answers are worth."""
+def earned_worth(results: list[RequestResult]) -> float:
+    """Return the worth that the responses earned."""
     shares = {"on time": 1.0, "late": LATE_SHARE}
-    values = zip(ends, worths(ends), strict=True)
-    return sum(shares.get(end.outcome, 0.0) * worth for end, worth in values)
+    values = zip(results, request_worths(results), strict=True)
+    return sum(shares.get(res.outcome, 0.0) * worth for res, worth in values)
 
 
-def _token_ms(answered: list[Ending]) -> float:
-    most = max((end.kind.worth for end in answered), default=0.0)
-    long = [end for end in answered if end.kind.worth == most]
-    n_tokens = sum(end.n_events * N_EVENT_TOKENS for end in long)
-    seconds = sum(end.seconds - end.first_seconds for end in long)
+def _token_ms(completed: list[RequestResult]) -> float:
+    max_worth = max((res.kind.worth for res in completed), default=0.0)
+    longest = [res for res in completed if res.kind.worth == max_worth]
+    n_tokens = sum(res.n_events * N_EVENT_TOKENS for res in longest)
+    seconds = sum(res.seconds - res.first_seconds for res in longest)
     return 1_000 * seconds / max(1, n_tokens)
 
 
-def _share_point(values: list[float], share: float) -> float:
+def _percentile(values: list[float], share: float) -> float:
     ordered = sorted(values)
     return ordered[min(len(ordered) - 1, int(share * len(ordered)))] if ordered else 0.0
 
 
-def table(found: list[Measures]) -> list[str]:
-    """Return the means over seeds as lines of a table."""
+def table(all_measures: list[Measures]) -> list[str]:
+    """Return a table with the means over seeds, one line per policy."""
     lines = ["load/policy".ljust(32) + "".join(f"{name:>16}" for name, _ in COLUMNS)]
-    for load, policy in dict.fromkeys((one.load, one.policy) for one in found):
-        mine = [one for one in found if (one.load, one.policy) == (load, policy)]
+    for load, policy in dict.fromkeys(
+        (measures.load, measures.policy) for measures in all_measures
+    ):
+        selected = [
+            measures
+            for measures in all_measures
+            if (measures.load, measures.policy) == (load, policy)
+        ]
         cells = [
-            form.format(statistics.mean(getattr(one, name) for one in mine))
-            for name, form in COLUMNS
+            template.format(
+                statistics.mean(getattr(measures, name) for measures in selected)
+            )
+            for name, template in COLUMNS
         ]
         lines.append(
             f"{load}/{policy}".ljust(32) + "".join(f"{cell:>16}" for cell in cells)
@@ -172,16 +184,18 @@
     return lines
 
 
-def picture(found: list[Measures], path: Path) -> None:
-    """Draw worth and losses by policy, a point for each seed."""
-    loads = list(dict.fromkeys(one.load for one in found))
+def draw(all_measures: list[Measures], path: Path) -> None:
+    """Plot worth and lost requests by policy, one point per seed."""
+    loads = list(dict.fromkeys(measures.load for measures in all_measures))
     figure, axes = plt.subplots(2, len(loads), figsize=(4 * len(loads), 6))
     for column, load in enumerate(loads):
-        mine = [one for one in found if one.load == load]
+        selected = [measures for measures in all_measures if measures.load == load]
         for row, name in enumerate(("worth", "n_lost")):
             axis = axes[row][column] if len(loads) > 1 else axes[row]
             axis.plot(
-                [one.policy for one in mine], [getattr(one, name) for one in mine], "o"
+                [measures.policy for measures in selected],
+                [getattr(measures, name) for measures in selected],
+                "o",
             )
             axis.set_title(f"{load}: {name}", fontsize=8)
             axis.tick_params(axis="x", labelrotation=60, labelsize=7)
@@ -192,27 +206,27 @@
 
 def main(
     loads: Annotated[list[str], typer.Argument(help="Names of files in bench/loads.")],
-    policies: Annotated[str, typer.Option(help="With commas between.")] = ",".join(
+    policies: Annotated[str, typer.Option(help="Comma-separated names.")] = ",".join(
         VARIATIONS
     ),
-    seeds: Annotated[str, typer.Option(help="With commas between.")] = "1,2,3",
-    jobs: Annotated[int, typer.Option(help="Plays at once.")] = 4,
-    out: Annotated[Path, typer.Option(help="Where the files go.")] = Path("out"),
+    seeds: Annotated[str, typer.Option(help="Comma-separated numbers.")] = "1,2,3",
+    jobs: Annotated[int, typer.Option(help="Number of parallel simulations.")] = 4,
+    out: Annotated[Path, typer.Option(help="Output folder.")] = Path("out"),
 ) -> None:
-    """Play workloads with several policies side by side."""
-    plays = [
+    """Compare policies on the same workloads."""
+    simulations = [
         (load, policy, int(seed))
         for load in loads
         for policy in policies.split(",")
         for seed in seeds.split(",")
     ]
     with ProcessPoolExecutor(max_workers=jobs) as pool:
-        found = list(pool.map(measure, *zip(*plays, strict=True)))
+        all_measures = list(pool.map(measure, *zip(*simulations, strict=True)))
     out.mkdir(exist_ok=True)
-    rows = [dataclasses.asdict(one) for one in found]
+    rows = [dataclasses.asdict(measures) for measures in all_measures]
     (out / "fleet.json").write_text(json.dumps(rows, indent=1), encoding="utf-8")
-    picture(found, out / "fleet.png")
-    for line in table(found):
+    draw(all_measures, out / "fleet.png")
+    for line in table(all_measures):
         typer.echo(line)
 
 
--- a/bench/fleetload.py
+++ b/bench/fleetload.py
@@ -1,4 +1,4 @@
-"""What a fleet is asked to do: a workload file, and the requests that come of it."""
+"""Workload files of fleet simulations, and the requests drawn from them."""
 
 from __future__ import annotations
 
@@ -12,20 +12,20 @@
 
 
 class Spread(msgspec.Struct, forbid_unknown_fields=True, frozen=True):
-    """A log-normal size: its mean, the deviation of its logarithm, and its bound."""
+    """Log-normal size: its mean, the deviation of its logarithm, its upper bound."""
 
     mean: float
     spread: float
     max: float
 
     def draw(self, rng: random.Random) -> int:
-        """Return a size of at least 1."""
-        middle = math.log(self.mean) - self.spread**2 / 2
-        return max(1, round(min(self.max, rng.lognormvariate(middle, self.spread))))
+        """Draw a size of at least 1."""
+        log_mean = math.log(self.mean) - self.spread**2 / 2
+        return max(1, round(min(self.max, rng.lognormvariate(log_mean, self.spread))))
 
 
 class Burst(msgspec.Struct, forbid_unknown_fields=True, frozen=True):
-    """A time in which more requests come."""
+    """A period, in seconds, in which the arrival rate is multiplied by a factor."""
 
     at: float
     seconds: float
@@ -33,7 +33,7 @@
 
 
 class RequestKind(msgspec.Struct, forbid_unknown_fields=True, frozen=True):
-    """One kind of generation; times are in seconds."""
+    """One kind of request; times are in seconds."""
 
     name: str
     per_second: float
@@ -50,7 +50,7 @@
     burst: Burst | None = None
 
     def rate(self, at: float) -> float:
-        """Return how many come a second at a time."""
+        """Return the arrival rate at a time, in requests per second."""
         burst = self.burst
         if burst is not None and burst.at <= at < burst.at + burst.seconds:
             return self.per_second * burst.factor
@@ -58,7 +58,7 @@
 
 
 class EngineFleet(msgspec.Struct, forbid_unknown_fields=True, frozen=True):
-    """The engines, and how they come and go; times are in seconds."""
+    """The engines, their reclaiming and replacement; times are in seconds."""
 
     n_per_zone: int
     slowness: list[float]
@@ -69,7 +69,7 @@
 
 
 class FleetLoad(msgspec.Struct, forbid_unknown_fields=True, frozen=True):
-    """A whole workload."""
+    """A workload: the nodes, the engines and the kinds of requests."""
 
     seconds: float
     n_nodes: int
@@ -80,18 +80,18 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Arrival:
-    """One request to come.
+    """Holds one request of a workload.
 
     Parameters
     ----------
     number : int
-        Which one.
+        Position in the order of arrival, from 0.
     at : float
-        Seconds from the start of traffic.
+        Time of arrival, in seconds from the start of traffic.
     kind : RequestKind
-        What it is.
+        The kind of request.
     n_prompt, n_events, n_hinted : int
-        Prompt tokens, events of its answer, and the output tokens that it hints.
+        Prompt tokens, events of the response, and output tokens in the length hint.
     """
 
     number: int
@@ -103,12 +103,12 @@
 
 
 def read_load(path: Path) -> FleetLoad:
-    """Read a workload file; a field that is not known is an error."""
+    """Read a workload file; unknown fields are errors."""
     return msgspec.toml.decode(path.read_bytes(), type=FleetLoad)
 
 
-def arrivals(load: FleetLoad, n_event_tokens: int, seed: int) -> list[Arrival]:
-    """Return the requests of a workload in the order of their coming."""
+def draw_arrivals(load: FleetLoad, n_event_tokens: int, seed: int) -> list[Arrival]:
+    """Draw the requests of a workload and return them in order of arrival."""
     drawn: list[dict[str, Any]] = []
     for kind in load.requests:
         rng = random.Random(f"{seed}:{kind.name}")
@@ -126,5 +126,5 @@
                 }
             )
             at += rng.expovariate(kind.rate(at))
-    drawn.sort(key=lambda one: one["at"])
-    return [Arrival(number=number, **one) for number, one in enumerate(drawn)]
+    drawn.sort(key=lambda fields: fields["at"])
+    return [Arrival(number=number, **fields) for number, fields in enumerate(drawn)]
--- a/bench/fleetplacing.py
+++ b/bench/fleetplacing.py
@@ -1,4 +1,4 @@
-"""Placing policies to compare the product's own with, and what else can be varied."""
+"""Placement policies and settings to compare the product's defaults with."""
 
 from __future__ import annotations
 
@@ -13,17 +13,17 @@
 
 
 class AnyQueue(LeastCostPlacement):
-    """The product's own, but however many prompts an engine has still to read."""
+    """The product's policy without its bound on an engine's queue of prompts."""
 
     def choose(
         self, loads: Sequence[EngineLoad], demand: Demand, rng: random.Random
     ) -> EngineLoad | None:
-        """Return the fitting engine with the least cost."""
+        """Return the engine with the least cost that can take the run."""
         return super().choose(loads, replace(demand, max_prefill_seconds=math.inf), rng)
 
 
 class RoundRobin(PlacementPolicy):
-    """Each node sends to the engines in turn, whatever they hold."""
+    """Each node uses the engines in turn, regardless of their load."""
 
     def __init__(self) -> None:
         self._n_placed = 0
@@ -31,7 +31,7 @@
     def choose(
         self, loads: Sequence[EngineLoad], demand: Demand, rng: random.Random
     ) -> EngineLoad | None:
-        """Return the next engine in the order of names."""
+        """Return the next engine in the order of endpoint names."""
         ordered = sorted(loads, key=lambda load: load.reg.endpoint)
         if not ordered:
             return None
@@ -40,12 +40,12 @@
 
 
 class LeastReported(PlacementPolicy):
-    """Each node goes by the engines' own late reports alone."""
+    """Each node uses only the engines' own, delayed load reports."""
 
     def choose(
         self, loads: Sequence[EngineLoad], demand: Demand, rng: random.Random
     ) -> EngineLoad | None:
-        """Return the engine that says that it has most memory free."""
+        """Return the engine that reports the fewest used tokens."""
         if not loads:
             return None
         return min(
@@ -58,7 +58,7 @@
 
 
 class FewestRuns(PlacementPolicy):
-    """By the view that all nodes share, but only by how many runs there are."""
+    """Uses the load estimate that nodes share, but only its number of runs."""
 
     def choose(
         self, loads: Sequence[EngineLoad], demand: Demand, rng: random.Random
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -1,4 +1,4 @@
-"""Whole fleets at their worst load, in virtual time, against the engines' model."""
+"""Simulations of whole fleets under their worst load, with model engines."""
 
 import functools
 import statistics
@@ -8,14 +8,14 @@
 import msgspec
 import pytest
 
-from bench.fleet import FleetResult, Variation, play
+from bench.fleet import FleetResult, Variation, simulate
 from bench.fleetcompare import LOADS, Measures, summarise, table
 from bench.fleetcost import Point, measure
-from bench.fleetload import Burst, FleetLoad, arrivals, read_load
+from bench.fleetload import Burst, FleetLoad, draw_arrivals, read_load
 from bench.fleetplacing import VARIATIONS
 
 SEED = 2
-# Short enough for CI, long enough for six engines to be taken away.
+# Seconds of traffic: short enough for CI, long enough to reclaim six engines.
 SECONDS = 22.0
 N_PROCESSES = 4
 
@@ -26,149 +26,151 @@
 
 
 @functools.cache
-def played(name: str, policy: str, seed: int = SEED) -> FleetResult:
-    return play(short_load(name), VARIATIONS[policy](), seed)
+def result_of(name: str, policy: str, seed: int = SEED) -> FleetResult:
+    return simulate(short_load(name), VARIATIONS[policy](), seed)
 
 
-def measures(name: str, policy: str, seed: int = SEED) -> Measures:
-    return summarise(name, policy, seed, played(name, policy, seed))
+def measures_of(name: str, policy: str, seed: int = SEED) -> Measures:
+    return summarise(name, policy, seed, result_of(name, policy, seed))
 
 
 def crash_measures(policy: str, seed: int) -> Measures:
-    return measures("crashes", policy, seed)
+    return measures_of("crashes", policy, seed)
 
 
-class TestEnginesTakenAway:
-    def test_drafts_leave_their_engines_before_these_are_gone(self):
-        """One engine in six is taken away every 3.3 s, two seconds after its notice. A
-        draft on it can't be begun again; without moves its caller sees it break off.
+class TestReclaimedEngines:
+    def test_drafts_migrate_before_their_engine_is_reclaimed(self):
+        """One engine in six is reclaimed every 3.3 s, two seconds after its notice. A
+        draft can't be restarted, so without migration its response is cut off.
         """
-        still = measures("office-thin", "no moves")
-        assert still.n_lost >= 5
-        assert measures("office-thin", "shipped").n_lost <= still.n_lost / 5
+        without_moves = measures_of("office-thin", "no moves")
+        assert without_moves.n_lost >= 5
+        assert measures_of("office-thin", "shipped").n_lost <= without_moves.n_lost / 5
 
-    def test_no_answer_is_wrong(self):
-        """A draft goes over two or three engines. Were an event of the old engine and
-        one of the new both passed on, its caller would read a clause twice.
+    def test_no_response_is_wrong(self):
+        """A draft runs on two or three engines in turn. If events of both the old and
+        the new engine were relayed, the caller would read a clause twice.
         """
         for policy in ("shipped", "no moves"):
-            assert measures("office-thin", policy).n_wrong == 0
+            assert measures_of("office-thin", policy).n_wrong == 0
 
-    def test_no_draft_is_begun_twice(self):
-        """A draft may run once. Begun anew at a second engine, two contracts would be
-        drafted of one booking, and its caller could get either.
+    def test_no_draft_is_started_twice(self):
+        """A draft may run only once. A restart at a second engine would draft two
+        contracts for one booking, and the caller could receive either.
         """
-        assert played("office-thin", "shipped").twice == []
+        assert result_of("office-thin", "shipped").repeated_attempts == []
 
-    def test_worth_beats_what_ignores_memory_and_prompts(self):
-        shipped = measures("office-thin", "shipped").worth
+    def test_worth_exceeds_policies_that_ignore_memory_and_prompts(self):
+        shipped = measures_of("office-thin", "shipped").worth
         for policy in ("round robin", "least reported"):
-            assert shipped > measures("office-thin", policy).worth
+            assert shipped > measures_of("office-thin", policy).worth
 
 
 class TestCrashes:
-    def test_copies_save_drafts_of_engines_that_give_no_notice(self):
-        """An engine dies every six seconds without a word. Only a draft whose memory
-        was copied as it grew can go on.
+    def test_replication_saves_drafts_of_engines_that_crash(self):
+        """An engine crashes every six seconds without notice. Only a draft whose memory
+        was replicated as it grew can continue.
         """
-        # What a single play loses varies by half with the order of its draws.
+        # The losses of a single simulation vary by half with the order of its draws.
         seeds = range(1, 9)
         with ProcessPoolExecutor(max_workers=N_PROCESSES) as pool:
             without = list(pool.map(crash_measures, ["no copies"] * len(seeds), seeds))
             shipped = list(pool.map(crash_measures, ["shipped"] * len(seeds), seeds))
-        n_without = sum(found.n_lost for found in without)
-        assert sum(found.n_lost for found in shipped) <= 0.75 * n_without
-        worth = statistics.mean(found.worth for found in shipped)
-        assert worth > statistics.mean(found.worth for found in without)
+        n_without = sum(measures.n_lost for measures in without)
+        assert sum(measures.n_lost for measures in shipped) <= 0.75 * n_without
+        worth = statistics.mean(measures.worth for measures in shipped)
+        assert worth > statistics.mean(measures.worth for measures in without)
 
-    def test_no_answer_is_wrong_and_no_draft_begun_twice(self):
-        assert measures("crashes", "shipped").n_wrong == 0
-        assert played("crashes", "shipped").twice == []
+    def test_no_response_is_wrong_and_no_draft_started_twice(self):
+        assert measures_of("crashes", "shipped").n_wrong == 0
+        assert result_of("crashes", "shipped").repeated_attempts == []
 
 
-class TestManyNodesOneReport:
-    def test_nodes_do_not_all_choose_the_engine_that_looked_empty(self):
-        """Six nodes read the same report, half a second old, and each sends its drafts
-        to the engine that was empty then. Prompts queue there, and first words come
+class TestStaleReports:
+    def test_nodes_do_not_all_choose_the_engine_reported_empty(self):
+        """Six nodes read the same report, half a second old. If each sends its drafts
+        to the engine that was empty then, prompts queue there and first events are
         late.
         """
-        by_report = measures("office-thin", "least reported")
-        shipped = measures("office-thin", "shipped")
+        by_report = measures_of("office-thin", "least reported")
+        shipped = measures_of("office-thin", "shipped")
         assert by_report.n_late > 3 * shipped.n_late
         assert shipped.first_p95 < 1.8
 
 
-class TestNews:
-    def test_drafts_are_saved_though_a_third_of_all_news_is_lost(self):
-        """Nodes tell each other of their runs by datagrams, of which a crowded link
-        loses some. With a wrong picture of who is where, two nodes could move their
-        drafts at once, or none; their callers would see them break off.
+class TestPeerUpdates:
+    def test_drafts_survive_the_loss_of_a_third_of_all_updates(self):
+        """Nodes announce their runs in datagrams, some of which a congested link drops.
+        With wrong load estimates, two nodes could migrate their drafts at once, or
+        none could; the responses would be cut off.
         """
         load = short_load("office-thin")
-        lossy = play(load, Variation(dropped_share=0.33), SEED)
-        found = summarise("office-thin", "lossy", SEED, lossy)
-        assert found.n_wrong == 0
-        assert lossy.twice == []
-        assert found.n_lost <= measures("office-thin", "no moves").n_lost / 3
-
-    def test_a_node_that_stands_still_spoils_no_answer(self):
-        """A VM freezes for three seconds while its drafts run on, and one of their
-        engines may leave meanwhile. What it passes on after it wakes must still be
-        whole, each event once; the other nodes' callers notice nothing.
+        lossy = simulate(load, Variation(dropped_share=0.33), SEED)
+        measures = summarise("office-thin", "lossy", SEED, lossy)
+        assert measures.n_wrong == 0
+        assert lossy.repeated_attempts == []
+        assert measures.n_lost <= measures_of("office-thin", "no moves").n_lost / 3
+
+    def test_a_frozen_node_corrupts_no_response(self):
+        """A VM freezes for three seconds while its drafts continue, and one of their
+        engines may leave meanwhile. Afterwards it must relay each event exactly once;
+        callers of other nodes aren't affected.
         """
         load = short_load("office-thin")
-        frozen = play(load, Variation(frozen=("vm-1", 8.0, 3.0)), SEED)
-        found = summarise("office-thin", "frozen", SEED, frozen)
-        assert found.n_wrong == 0
-        assert frozen.twice == []
-        assert found.n_lost <= 6
-        assert found.worth > measures("office-thin", "no moves").worth
+        frozen = simulate(load, Variation(frozen=("vm-1", 8.0, 3.0)), SEED)
+        measures = summarise("office-thin", "frozen", SEED, frozen)
+        assert measures.n_wrong == 0
+        assert frozen.repeated_attempts == []
+        assert measures.n_lost <= 6
+        assert measures.worth > measures_of("office-thin", "no moves").worth
 
 
 class TestOverload:
-    """For fourteen seconds four times as many drafts come. Engines can neither read
-    their prompts in time nor hold them all.
+    """Drafts arrive at four times the rate for fourteen seconds. Engines can neither
+    prefill their prompts in time nor hold all of them in memory.
     """
 
     @staticmethod
     @functools.cache
-    def play(policy: str) -> FleetResult:
+    def result_of(policy: str) -> FleetResult:
         load = short_load("office-thin")
         draft, check = load.requests
-        flood = Burst(at=3.0, seconds=14.0, factor=4.0)
-        requests = [msgspec.structs.replace(draft, burst=flood), check]
-        flooded = msgspec.structs.replace(load, requests=requests)
-        return play(flooded, VARIATIONS[policy](), SEED)
-
-    def test_refusals_come_while_the_caller_can_still_return(self):
-        """A caller that waits its whole time for a refusal has none left for another
-        try, here or elsewhere.
+        burst = Burst(at=3.0, seconds=14.0, factor=4.0)
+        requests = [msgspec.structs.replace(draft, burst=burst), check]
+        burst_load = msgspec.structs.replace(load, requests=requests)
+        return simulate(burst_load, VARIATIONS[policy](), SEED)
+
+    def test_refusals_leave_time_for_a_retry(self):
+        """A caller that waits for its whole timeout before a refusal has no time left
+        for another attempt, here or elsewhere.
         """
         refused = [
-            end for end in self.play("shipped").endings if end.outcome == "refused"
+            res
+            for res in self.result_of("shipped").request_results
+            if res.outcome == "refused"
         ]
         assert refused
-        # Two tries of half a target each, and the time to come back between them.
-        assert max(end.seconds for end in refused) < 1.8 + 0.7 + 0.2
+        # Two attempts of half a target each, and the retry delay between them.
+        assert max(res.seconds for res in refused) < 1.8 + 0.7 + 0.2
 
-    def test_prompts_do_not_queue_up_where_memory_is_free(self):
-        """Placed wherever memory is free, prompts queue at one engine for seconds. Each
-        caller there gets its first word late, long after the flood as well.
+    def test_prompts_do_not_queue_at_engines_with_free_memory(self):
+        """If placement considers only free memory, prompts queue at one engine for
+        seconds. First events are late there, even long after the overload.
         """
-        shipped = summarise("flood", "shipped", SEED, self.play("shipped"))
-        any_queue = summarise("flood", "any queue", SEED, self.play("any queue"))
+        shipped = summarise("flood", "shipped", SEED, self.result_of("shipped"))
+        any_queue = summarise("flood", "any queue", SEED, self.result_of("any queue"))
         assert shipped.worth > 1.1 * any_queue.worth
         assert shipped.first_p95 < any_queue.first_p95
 
-    def test_what_is_taken_is_not_preempted_again_and_again(self):
-        result = self.play("shipped")
-        assert result.n_preempted <= len(result.endings) / 20
-        assert not [end for end in result.endings if end.outcome == "wrong"]
+    def test_admitted_requests_are_rarely_preempted(self):
+        result = self.result_of("shipped")
+        assert result.n_preempted <= len(result.request_results) / 20
+        assert not [res for res in result.request_results if res.outcome == "wrong"]
 
 
 class TestManyNodes:
-    """The same engines and callers behind more and more nodes. Each sees less of the
-    load itself and hears the rest from others.
+    """The same engines and callers with a growing number of nodes. Each node sees less
+    of the load itself and learns the rest from updates of other nodes.
     """
 
     @staticmethod
@@ -176,36 +178,38 @@
     def point(n_nodes: int, load: float) -> Point:
         return measure(n_nodes, load, seconds=4.0, seed=SEED)
 
-    def test_callers_are_served_as_well_by_many_nodes_as_by_few(self):
-        """Nodes that decide at the same time choose the same engine, where news comes
-        late or is lost among hundreds of nodes; prompts queue there.
+    def test_worth_does_not_fall_with_more_nodes(self):
+        """If updates are late or lost among hundreds of nodes, nodes that place runs at
+        the same time choose the same engine; prompts queue there.
         """
         assert self.point(36, 1.0).worth >= self.point(12, 1.0).worth - 0.05
 
-    def test_what_a_node_sends_without_traffic_does_not_grow_with_the_nodes(self):
-        """Hundreds of nodes that tell one another that they have nothing to tell need
-        half of a small VM before the first request.
+    def test_idle_traffic_per_node_does_not_grow_with_the_nodes(self):
+        """Hundreds of nodes that send each other empty updates use half of a small VM
+        before the first request.
         """
         few, many = self.point(12, 0.0), self.point(36, 0.0)
-        assert many.n_news <= 1.2 * few.n_news
+        assert many.n_updates <= 1.2 * few.n_updates
         assert many.gossip_bytes <= 1.2 * few.gossip_bytes
 
-    def test_calls_to_the_store_do_not_grow_with_the_nodes(self):
-        # Where word goes over two nodes the first asks a little more often.
+    def test_store_calls_do_not_grow_with_the_nodes(self):
+        # The first node asks a little more often when updates pass through two nodes.
         assert self.point(36, 0.0).store_calls <= 1.5 * self.point(12, 0.0).store_calls
         assert self.point(36, 0.0).n_start_calls <= self.point(12, 0.0).n_start_calls
 
 
-class TestTool:
-    def test_a_seed_gives_the_same_requests(self):
+class TestWorkloadsAndTable:
+    def test_the_same_seed_draws_the_same_requests(self):
         load = short_load("office-thin")
-        assert arrivals(load, 4, 7) == arrivals(load, 4, 7)
-        assert arrivals(load, 4, 7) != arrivals(load, 4, 8)
+        assert draw_arrivals(load, 4, 7) == draw_arrivals(load, 4, 7)
+        assert draw_arrivals(load, 4, 7) != draw_arrivals(load, 4, 8)
 
     @pytest.mark.parametrize("path", sorted(LOADS.glob("*.toml")), ids=lambda p: p.stem)
     def test_each_workload_file_can_be_read(self, path: Path):
         assert read_load(path).requests
 
     def test_the_table_has_a_line_for_each_policy(self):
-        found = [measures("office-thin", policy) for policy in ("shipped", "no moves")]
-        assert len(table(found)) == 3
+        all_measures = [
+            measures_of("office-thin", policy) for policy in ("shipped", "no moves")
+        ]
+        assert len(table(all_measures)) == 3
