--- a/bench/fleetcost.py
+++ b/bench/fleetcost.py
@@ -73,8 +73,8 @@
         lines.append(
             f"| {point.n_nodes} | {point.load:g} | {point.worth:.3f} "
             f"| {point.processor_ms:.1f} | {point.n_updates:.0f} "
-            f"| {point.update_bytes:.0f} | {point.gossip_bytes:.0f} | {point.n_start_calls:.1f} "
-            f"| {point.store_calls:.1f} |"
+            f"| {point.update_bytes:.0f} | {point.gossip_bytes:.0f} "
+            f"| {point.n_start_calls:.1f} | {point.store_calls:.1f} |"
         )
     return "\n".join(lines)
 
--- a/bench/membership_loaded.py
+++ b/bench/membership_loaded.py
@@ -1,4 +1,4 @@
-"""One node with the state of many loaded by hand: memory, time and bytes."""
+"""Measures memory, time and bytes of one node whose table holds many members."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
 
 
 def member(number: int) -> Member:
-    """Return a member as large as real ones."""
+    """Return a member with names of realistic length."""
     return Member(
         node=f"office-vm-{number:04d}-{number:08x}",
         incarnation=1_700_000_000_000 + number,
@@ -40,14 +40,14 @@
     )
 
 
-class Loaded:
-    """One node that knows many, and is answered as if they lived."""
+class LoadedNode:
+    """Runs one node with many members whose responses are simulated."""
 
     def __init__(self, n_nodes: int) -> None:
         self.now = 0.0
         self.wall = 1_700_000_000.0
         self.n_bytes = 0
-        self.seconds = 0.0
+        self.elapsed_seconds = 0.0
         rng = random.Random(1)
         tracemalloc.start()
         before = tracemalloc.get_traced_memory()[0]
@@ -63,57 +63,57 @@
         self.by_address = {other.peer: other for other in self.others}
         self.run(20.0, 0.0)
         self.n_bytes = 0
-        self.seconds = 0.0
+        self.elapsed_seconds = 0.0
 
-    def run(self, seconds: float, n_news_per_second: float) -> None:
-        """Live through some seconds with all answers and the watchers' pings."""
+    def run(self, seconds: float, versions_per_second: float) -> None:
+        """Simulate some seconds, with all acknowledgements and pings from others."""
         timing = Timing()
         version = int(self.now * 1000)
-        news_at = self.now
-        ping_at = self.now
-        end = self.now + seconds
-        while self.now < end:
+        next_update_at = self.now
+        next_ping_at = self.now
+        end_at = self.now + seconds
+        while self.now < end_at:
             self.now += timing.tick_seconds
             self.wall += timing.tick_seconds
             started = time.perf_counter()
             self.node.step(self.now, self.wall)
-            self.seconds += time.perf_counter() - started
-            self._answer()
-            if self.now >= ping_at:
-                ping_at += timing.probe_seconds / 3
-                self._hear(Kind.PING, self.others[0], 0, None)
-            if n_news_per_second and self.now >= news_at:
-                news_at += 1.0 / n_news_per_second
+            self.elapsed_seconds += time.perf_counter() - started
+            self._exchange_datagrams()
+            if self.now >= next_ping_at:
+                next_ping_at += timing.probe_seconds / 3
+                self._receive(Kind.PING, self.others[0], 0, None)
+            if versions_per_second and self.now >= next_update_at:
+                next_update_at += 1.0 / versions_per_second
                 version += 1
-                self._hear(Kind.UPDATE, self.others[1], 0, version)
-            self._answer()
+                self._receive(Kind.UPDATE, self.others[1], 0, version)
+            self._exchange_datagrams()
 
-    def _answer(self) -> None:
+    def _exchange_datagrams(self) -> None:
         for _ in range(5):
             started = time.perf_counter()
             outgoing = self.node.take_outgoing()
             self.node.take_events()
             sealed = [KEYS.seal(encode_datagram(out.datagram)) for out in outgoing]
-            self.seconds += time.perf_counter() - started
+            self.elapsed_seconds += time.perf_counter() - started
             self.n_bytes += sum(len(data) + DATAGRAM_HEADER_BYTES for data in sealed)
             for out in outgoing:
-                self._answer_one(out)
+                self._acknowledge(out)
             if not outgoing:
                 break
 
-    def _answer_one(self, out: Outgoing) -> None:
+    def _acknowledge(self, out: Outgoing) -> None:
         if out.datagram.kind is Kind.PING:
             other = self.by_address[out.address]
-            self._hear(Kind.ACK, other, out.datagram.sequence, None)
+            self._receive(Kind.ACK, other, out.datagram.sequence, None)
 
-    def _hear(
+    def _receive(
         self, kind: Kind, sender: Member, sequence: int, version: int | None
     ) -> None:
         items = []
         newest = self.node.newest.version
         if version is not None:
-            news = VersionUpdate(version, "r" * 64, sender.node)
-            items.append(encode_update(news))
+            update = VersionUpdate(version, "r" * 64, sender.node)
+            items.append(encode_update(update))
         data = KEYS.seal(
             encode_datagram(
                 Datagram(
@@ -135,27 +135,27 @@
         assert opened is not None
         datagram = decode_datagram(opened)
         self.node.receive(datagram, sender.peer, self.now, self.wall)
-        self.seconds += time.perf_counter() - started
+        self.elapsed_seconds += time.perf_counter() - started
 
 
 def measure_loaded(n_nodes: int) -> dict[str, float]:
-    """Return what one node costs among so many."""
-    loaded = Loaded(n_nodes)
+    """Return the costs of one node in a group of ``n_nodes``."""
+    loaded = LoadedNode(n_nodes)
     loaded.run(PERIOD_SECONDS, 0.0)
     quiet_bytes = loaded.n_bytes / PERIOD_SECONDS
-    quiet_micros = 1e6 * loaded.seconds / PERIOD_SECONDS
+    quiet_microseconds = 1e6 * loaded.elapsed_seconds / PERIOD_SECONDS
     loaded.n_bytes = 0
-    loaded.seconds = 0.0
+    loaded.elapsed_seconds = 0.0
     loaded.run(PERIOD_SECONDS, 1.0)
     return {
         "n_nodes": n_nodes,
         "memory_bytes": loaded.n_memory_bytes,
         "quiet_bytes_per_second": round(quiet_bytes, 1),
-        "quiet_microseconds_per_second": round(quiet_micros, 1),
+        "quiet_microseconds_per_second": round(quiet_microseconds, 1),
         "one_version_a_second_bytes_per_second": round(
             loaded.n_bytes / PERIOD_SECONDS, 1
         ),
         "one_version_a_second_microseconds_per_second": round(
-            1e6 * loaded.seconds / PERIOD_SECONDS, 1
+            1e6 * loaded.elapsed_seconds / PERIOD_SECONDS, 1
         ),
     }
--- a/bench/membership_process.py
+++ b/bench/membership_process.py
@@ -1,7 +1,7 @@
-"""One process of the membership bench: a node's membership and nothing else.
+"""One process of the membership bench, which runs only a node's membership.
 
-It takes commands on standard input, one JSON array a line, and prints what it sees,
-one JSON array a line, each with the machine's monotonic time.
+It reads commands from standard input and prints events, one JSON array per line. Each
+event starts with the machine's monotonic time in seconds.
 """
 
 from __future__ import annotations
@@ -28,7 +28,7 @@
 
 
 class DroppingTransport(asyncio.DatagramTransport):
-    """Sends by another transport, but for what is dropped."""
+    """Sends through another transport, except for dropped datagrams."""
 
     def __init__(
         self, inner: asyncio.DatagramTransport, network: DroppingNetwork
@@ -38,21 +38,21 @@
         self._network = network
 
     def sendto(self, data: Any, addr: Any = None) -> None:
-        """Send a datagram, or drop it."""
-        if not self._network.drops(addr[1]):
+        """Send or drop a datagram."""
+        if not self._network.should_drop(addr[1]):
             self._inner.sendto(data, addr)
 
     def close(self) -> None:
-        """Close the socket."""
+        """Close the wrapped transport."""
         self._inner.close()
 
     def is_closing(self) -> bool:
-        """Return whether it is closed."""
+        """Return whether the wrapped transport is closing."""
         return self._inner.is_closing()
 
 
 class DroppingProtocol(asyncio.DatagramProtocol):
-    """Gives the real protocol a transport that drops."""
+    """Gives the wrapped protocol a transport that drops datagrams."""
 
     def __init__(
         self, inner: asyncio.DatagramProtocol, network: DroppingNetwork
@@ -61,51 +61,51 @@
         self._network = network
 
     def connection_made(self, transport: Any) -> None:
-        """Wrap the transport."""
+        """Pass the wrapped transport on."""
         self._inner.connection_made(DroppingTransport(transport, self._network))
 
     def datagram_received(self, data: bytes, addr: Any) -> None:
-        """Hand it on."""
+        """Pass the datagram on."""
         self._inner.datagram_received(data, addr)
 
     def error_received(self, exc: Exception) -> None:
-        """Hand it on."""
+        """Pass the error on."""
         self._inner.error_received(exc)
 
 
 class DroppingNetwork(SystemNetwork):
-    """The machine's network with a share of datagrams dropped and some ports cut."""
+    """The machine's network, with datagram loss and blocked ports."""
 
     def __init__(self) -> None:
         self.dropped_share = 0.0
-        self.cut: frozenset[int] = frozenset()
+        self.blocked_ports: frozenset[int] = frozenset()
 
-    def drops(self, port: int) -> bool:
+    def should_drop(self, port: int) -> bool:
         """Return whether to drop a datagram to a port."""
-        return port in self.cut or random.random() < self.dropped_share
+        return port in self.blocked_ports or random.random() < self.dropped_share
 
     async def connect(self, factory: Callable[[], P], address: Address) -> P:
-        """Connect, but for ports that are cut."""
-        if address.port in self.cut:
+        """Connect to an address; raise OSError for blocked ports."""
+        if address.port in self.blocked_ports:
             raise OSError("cut")
         return await super().connect(factory, address)
 
     async def open_datagrams(
         self, factory: Callable[[], asyncio.DatagramProtocol], address: Address
     ) -> asyncio.DatagramTransport:
-        """Bind a port whose sending can drop."""
+        """Bind a port whose outgoing datagrams can be dropped."""
         return await super().open_datagrams(
             lambda: DroppingProtocol(factory(), self), address
         )
 
 
-def say(*values: object) -> None:
+def print_event(*values: object) -> None:
     """Print an event with its time."""
     print(json.dumps([time.monotonic(), *values]), flush=True)
 
 
-class Process:
-    """The process's node, and what it tells of it."""
+class MembershipProcess:
+    """Runs the node, executes commands and prints events."""
 
     def __init__(self, number: int, port: int, seeds: list[int]) -> None:
         self.network = DroppingNetwork()
@@ -134,14 +134,16 @@
             network=self.network,
         )
         self.nodes.add_routes(self.router)
-        self.nodes.on_change(self.changed)
-        self.nodes.on_version(lambda version, root, member: say("version", version))
+        self.nodes.on_change(self.on_membership_change)
+        self.nodes.on_version(
+            lambda version, root, member: print_event("version", version)
+        )
 
     async def run(self) -> None:
-        """Serve until told to stop."""
+        """Serve until the stop command or the end of the input."""
         await self.server.start(Address(host="127.0.0.1", port=self.port))
         await self.nodes.start()
-        say("started")
+        print_event("started")
         loop = asyncio.get_running_loop()
         reader = asyncio.StreamReader()
         await loop.connect_read_pipe(
@@ -155,38 +157,38 @@
         await self.nodes.stop()
         await self.server.close()
 
-    def changed(self) -> None:
-        """Tell who came, went and was suspected."""
+    def on_membership_change(self) -> None:
+        """Print which nodes became live, were removed or are suspected."""
         live = {member.node for member in self.nodes.live()}
         for node in live - self.live:
-            say("live", node)
+            print_event("live", node)
         for node in self.live - live:
-            say("gone", node)
+            print_event("gone", node)
         self.live = live
         for member in self.nodes.members():
             if self.states.get(member.node) is not member.state:
                 self.states[member.node] = member.state
                 if member.state is State.SUSPECT:
-                    say("suspect", member.node)
+                    print_event("suspect", member.node)
 
     def version(self, number: int) -> None:
         """Announce a configuration version."""
-        say("announced", number)
+        print_event("announced", number)
         self.nodes.announce_version(number, f"root{number:060d}")
 
     def drop(self, share: float) -> None:
-        """Drop a share of the datagrams sent."""
+        """Set the share of outgoing datagrams to drop."""
         self.network.dropped_share = share
 
     def cut(self, ports: list[int]) -> None:
-        """Send nothing to these ports."""
-        self.network.cut = frozenset(ports)
+        """Block datagrams and connections to these ports, and to no others."""
+        self.network.blocked_ports = frozenset(ports)
 
     def stats(self) -> None:
-        """Tell what was used so far."""
+        """Print bytes sent and received, processor seconds and maximum resident KiB."""
         gossip = self.nodes.gossip
         usage = resource.getrusage(resource.RUSAGE_SELF)
-        say(
+        print_event(
             "stats",
             gossip.n_sent_bytes,
             gossip.n_received_bytes,
@@ -197,4 +199,4 @@
 
 if __name__ == "__main__":
     given_number, given_port, *given_seeds = (int(text) for text in sys.argv[1:])
-    asyncio.run(Process(given_number, given_port, given_seeds).run())
+    asyncio.run(MembershipProcess(given_number, given_port, given_seeds).run())
