--- a/bench/fleetcompare.py
+++ b/bench/fleetcompare.py
@@ -24,7 +24,7 @@
 # Share of its worth that a late response earns: users expect it to be worth little.
 LATE_SHARE = 0.15
 # Share of a request's worth that doesn't depend on its size; the rest is proportional
-# to its size relative to the mean.
+# to its size relative to the mean, up to four times the mean.
 BASE_SHARE = 0.3
 
 
@@ -150,9 +150,9 @@
 
 def _token_ms(completed: list[RequestResult]) -> float:
     max_worth = max((res.kind.worth for res in completed), default=0.0)
-    longest = [res for res in completed if res.kind.worth == max_worth]
-    n_tokens = sum(res.n_events * N_EVENT_TOKENS for res in longest)
-    seconds = sum(res.seconds - res.first_seconds for res in longest)
+    most_valuable = [res for res in completed if res.kind.worth == max_worth]
+    n_tokens = sum(res.n_events * N_EVENT_TOKENS for res in most_valuable)
+    seconds = sum(res.seconds - res.first_seconds for res in most_valuable)
     return 1_000 * seconds / max(1, n_tokens)
 
 
