--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -193,7 +193,7 @@
         assert many.gossip_bytes <= 1.2 * few.gossip_bytes
 
     def test_store_calls_do_not_grow_with_the_nodes(self):
-        # The first of two nodes on the path of an update asks the store more often.
+        # The first of two relaying nodes asks the store slightly more often.
         assert self.point(36, 0.0).store_calls <= 1.5 * self.point(12, 0.0).store_calls
         assert self.point(36, 0.0).n_start_calls <= self.point(12, 0.0).n_start_calls
 
