--- a/standins/__init__.py
+++ b/standins/__init__.py
@@ -1,1 +1,1 @@
-"""Small stand-ins for the platform, engines and services; not the product."""
+"""Small stand-ins for the platform, engines and services, for tests and benches."""
--- a/standins/batch.py
+++ b/standins/batch.py
@@ -1,10 +1,10 @@
-"""The stand-in engine's inside: a batch, a memory that fills, and known answers.
+"""The batch of the stand-in engine: bounded memory and reproducible answers.
 
-Tokens come at a pace to all running generations at once. Memory is counted in tokens;
-when the next step would not fit, the newest generation of the lowest priority is
-thrown out, waits, and has its tokens computed again before it goes on, so it stalls
-but loses none. Every token follows from the prompt and the generation's id, so a test
-knows the exact right answer.
+Each step generates one token for every running generation. Memory is counted in
+tokens; when the next step would not fit, the newest generation of the lowest priority
+is preempted. It waits, and its tokens are computed again before it continues, so it
+stalls but loses no token. Every token is a function of the prompt and the generation's
+id, so a test knows the exact right answer.
 """
 
 from __future__ import annotations
@@ -24,14 +24,15 @@
 MAX_TOKENS = 20_000
 MAX_CACHED_PREFIXES = 256
 MAX_EVENTS = 4_096
-GAP_EVERY = 7
+# One cache event in this number isn't published.
+EVENT_GAP_INTERVAL = 7
 
 
 def answer_length(prompt: str, seed: int) -> int:
-    """Return how many tokens a prompt's answer has: heavy-tailed, or as it asks."""
-    asked = LENGTH_MARK.search(prompt)
-    if asked is not None:
-        return int(asked.group(1))
+    """Return the tokens of a prompt's answer: as marked, or a heavy-tailed draw."""
+    mark = LENGTH_MARK.search(prompt)
+    if mark is not None:
+        return int(mark.group(1))
     rng = random.Random(f"{seed}:{prompt}")
     length = rng.lognormvariate(0.0, LENGTH_SIGMA) * MEDIAN_TOKENS
     return max(1, min(MAX_TOKENS, int(length)))
@@ -44,18 +45,18 @@
 
 
 class Generation:
-    """One answer in the making.
+    """One generation: its prompt, its progress and its readers.
 
     Parameters
     ----------
     generation_id, prompt : str
-        Which one, and to what.
+        Its id, and the prompt that it answers.
     n_total : int
-        Tokens it will have; the engine alone knows.
-    n_allowed : int
-        The most tokens the caller allows.
+        Tokens of the whole answer; only the engine knows it.
+    n_max_tokens : int
+        Maximum of tokens that the caller allows.
     priority : int
-        0 to 9; the lowest is thrown out of memory first.
+        0 to 9; the lowest is preempted first.
     """
 
     def __init__(
@@ -64,19 +65,19 @@
         generation_id: str,
         prompt: str,
         n_total: int,
-        n_allowed: int,
+        n_max_tokens: int,
         priority: int,
     ) -> None:
         self.generation_id = generation_id
         self.prompt = prompt
         self.n_prompt = estimate_tokens(prompt)
-        self.n_last = min(n_total, n_allowed)
-        self.natural_end = "stop" if n_total <= n_allowed else "length"
+        self.n_target = min(n_total, n_max_tokens)
+        self.natural_end = "stop" if n_total <= n_max_tokens else "length"
         self.priority = priority
         self.n_produced = 0
         self.end: str | None = None
         self.ready_at = 0.0
-        self.thrown_out_at: float | None = None
+        self.preempted_at: float | None = None
         self.last_read_at = 0.0
         self.deadline: float | None = None
         self.ended_at = 0.0
@@ -86,20 +87,20 @@
 
     @property
     def n_memory(self) -> int:
-        """Return the tokens of memory that it takes while it runs."""
+        """Return the memory that it takes while it runs, in tokens."""
         return self.n_prompt + self.n_produced
 
     def text(self, offset: int) -> str:
         """Return the token at an offset."""
         return token_text(self.prompt, self.generation_id, offset)
 
-    def note_change(self) -> None:
-        """Wake the readers."""
+    def notify_change(self) -> None:
+        """Wake the readers, after a new token or the end."""
         self._changed.set()
         self._changed = asyncio.Event()
 
-    async def wait_change(self) -> None:
-        """Wait for more tokens or the end."""
+    async def wait_for_change(self) -> None:
+        """Wait for a new token, the end, or a lost reader."""
         await self._changed.wait()
 
 
@@ -109,21 +110,21 @@
     Parameters
     ----------
     engine, incarnation, model : str
-        What it calls itself, and the model it starts with.
+        The engine's name, its incarnation, and the model it starts with.
     tokens_per_second : float
-        Pace of each running generation.
+        Rate of each running generation.
     n_memory_tokens : int
-        Tokens that the memory holds.
+        Memory size in tokens.
     seed : int
-        Of the answers' lengths.
+        Seed of the answers' lengths.
     prefill_tokens_per_second : float
-        Pace at which prompts, and tokens lost to a preemption, are computed.
+        Rate at which prompts, and tokens lost to a preemption, are computed.
     keep_seconds : float
-        How long an ended generation can still be read.
+        How long a finished generation can still be read.
     unread_seconds : float
-        After how long without a reader a generation is given up.
+        Time without a reader after which a generation is cancelled.
     event_seconds : float
-        How late cache events are published.
+        Delay with which cache events are published.
     """
 
     def __init__(
@@ -157,27 +158,32 @@
         self._waiting: list[Generation] = []
         self._prefixes: OrderedDict[str, None] = OrderedDict()
         self._seed = seed
-        self._prefill = prefill_tokens_per_second
+        self._prefill_rate = prefill_tokens_per_second
         self._keep_seconds = keep_seconds
         self._unread_seconds = unread_seconds
         self._n_preemptions = 0
         self._stall_seconds = 0.0
         self._n_events = 0
         self._n_reports = 0
-        self._n_recent = 0
-        self._recent_since = 0.0
+        self._n_recent_tokens = 0
+        self._reported_at = 0.0
 
     def start(
-        self, generation_id: str, prompt: str, n_allowed: int, priority: int, now: float
+        self,
+        generation_id: str,
+        prompt: str,
+        n_max_tokens: int,
+        priority: int,
+        now: float,
     ) -> Generation:
-        """Take a generation in; asking again with its id gives the one there is."""
+        """Queue a generation; returns the existing one if its id is known."""
         if generation_id in self.generations:
             return self.generations[generation_id]
         generation = Generation(
             generation_id=generation_id,
             prompt=prompt,
             n_total=answer_length(prompt, self._seed),
-            n_allowed=n_allowed,
+            n_max_tokens=n_max_tokens,
             priority=priority,
         )
         generation.last_read_at = now
@@ -186,26 +192,26 @@
         return generation
 
     def cancel(self, generation: Generation, now: float) -> None:
-        """End a generation before its time."""
+        """Cancel a generation, unless it has finished."""
         if generation.end is None:
             self._finish(generation, "cancelled", now)
 
     def step(self, now: float) -> None:
-        """Make one token for each running generation."""
-        self._let_in(now)
+        """Generate one token for each running generation."""
+        self._admit(now)
         ready = [g for g in self._running if g.ready_at <= now]
         while ready and self.n_used + len(ready) > self.n_memory_tokens:
-            thrown_out = self._throw_out(now)
-            if thrown_out is None:
+            preempted = self._preempt(now)
+            if preempted is None:
                 break
-            ready = [g for g in ready if g is not thrown_out]
+            ready = [g for g in ready if g is not preempted]
         for generation in ready:
             generation.n_produced += 1
-            self._n_recent += 1
-            if generation.n_produced >= generation.n_last:
+            self._n_recent_tokens += 1
+            if generation.n_produced >= generation.n_target:
                 self._finish(generation, generation.natural_end, now)
             else:
-                generation.note_change()
+                generation.notify_change()
         self._expire(now)
 
     @property
@@ -215,15 +221,15 @@
 
     @property
     def n_used(self) -> int:
-        """Return the tokens that the memory holds now."""
+        """Return the memory in use, in tokens."""
         return sum(g.n_memory for g in self._running)
 
     def report(self, now: float, wall: float) -> EngineReport:
-        """Return the load as it is now."""
-        seconds = max(now - self._recent_since, self.step_seconds)
-        rate = self._n_recent / seconds
-        self._n_recent = 0
-        self._recent_since = now
+        """Return the current load; its token rate is since the last report."""
+        seconds = max(now - self._reported_at, self.step_seconds)
+        rate = self._n_recent_tokens / seconds
+        self._n_recent_tokens = 0
+        self._reported_at = now
         self._n_reports += 1
         return EngineReport(
             engine=self.engine,
@@ -246,32 +252,32 @@
             running=tuple((g.generation_id, g.n_produced) for g in self._running),
         )
 
-    def _let_in(self, now: float) -> None:
+    def _admit(self, now: float) -> None:
         self._waiting.sort(key=lambda g: -g.priority)
         while self._waiting:
             generation = self._waiting[0]
             is_alone = not self._running
-            room = self.n_memory_tokens - self.n_used - len(self._running)
-            if generation.n_memory + 1 > room and not is_alone:
+            n_free = self.n_memory_tokens - self.n_used - len(self._running)
+            if generation.n_memory + 1 > n_free and not is_alone:
                 return
             self._waiting.pop(0)
             n_cached = self._use_cache(generation.prompt, now)
             n_compute = max(1, generation.n_memory - n_cached)
-            generation.ready_at = now + n_compute / self._prefill
-            if generation.thrown_out_at is not None:
-                self._stall_seconds += generation.ready_at - generation.thrown_out_at
-                generation.thrown_out_at = None
+            generation.ready_at = now + n_compute / self._prefill_rate
+            if generation.preempted_at is not None:
+                self._stall_seconds += generation.ready_at - generation.preempted_at
+                generation.preempted_at = None
             self._running.append(generation)
 
-    def _throw_out(self, now: float) -> Generation | None:
+    def _preempt(self, now: float) -> Generation | None:
         if len(self._running) < 2:
-            # One that is alone would wait for itself for ever.
+            # A generation that runs alone would wait for its own memory for ever.
             return None
         lowest = min(g.priority for g in self._running)
         generation = next(g for g in reversed(self._running) if g.priority == lowest)
         self._running.remove(generation)
         self._waiting.insert(0, generation)
-        generation.thrown_out_at = now
+        generation.preempted_at = now
         self._n_preemptions += 1
         return generation
 
@@ -281,7 +287,7 @@
         for queue in (self._running, self._waiting):
             if generation in queue:
                 queue.remove(generation)
-        generation.note_change()
+        generation.notify_change()
 
     def _expire(self, now: float) -> None:
         for generation in list(self.generations.values()):
@@ -292,8 +298,8 @@
                 if now - generation.ended_at > self._keep_seconds:
                     del self.generations[generation.generation_id]
             elif now - generation.last_read_at > self._unread_seconds:
-                # Whoever asked for it is gone, and so is the node that relayed it;
-                # without this it would take memory until it ends by itself.
+                # Its caller and the node that relayed it no longer read it; without
+                # this it would take memory until its last token.
                 self._finish(generation, "cancelled", now)
             elif deadline is not None and now >= deadline:
                 self._finish(generation, "cancelled", now)
@@ -308,16 +314,16 @@
                 self._prefixes.move_to_end(prefix)
                 continue
             self._prefixes[prefix] = None
-            self._note_event("stored", prefix, now)
+            self._record_event("stored", prefix, now)
         while len(self._prefixes) > MAX_CACHED_PREFIXES:
             prefix, _ = self._prefixes.popitem(last=False)
-            self._note_event("evicted", prefix, now)
+            self._record_event("evicted", prefix, now)
         return n_cached * estimate_tokens("x" * 512)
 
-    def _note_event(self, kind: str, prefix: str, now: float) -> None:
+    def _record_event(self, kind: str, prefix: str, now: float) -> None:
         self._n_events += 1
-        if self._n_events % GAP_EVERY == 0:
-            # Engines publish with gaps: this event is never seen.
+        if self._n_events % EVENT_GAP_INTERVAL == 0:
+            # Engines publish with gaps: this event is never published.
             return
         event = {"sequence": self._n_events, "at": now, "kind": kind, "prefix": prefix}
         self.events.append(event)
--- a/standins/engine.py
+++ b/standins/engine.py
@@ -1,24 +1,24 @@
 """A stand-in for a model engine: ``python -m standins.engine --help``.
 
-It prints ``listening IP:PORT`` once it serves. `docs/DESIGN.md` has its protocol;
-`standins.batch` its inside. Besides the faults of `standins.faults` it knows, for
-``PUT /faults``:
+It prints ``listening IP:PORT`` once it serves. `docs/DESIGN.md` describes its
+protocol; `standins.batch` generates the tokens. ``PUT /faults`` accepts the faults of
+`standins.faults` and these:
 
 ``resend``
-    A stream taken up again starts ``tokens`` before the offset that was asked for.
+    A resumed stream starts ``tokens`` before the requested offset.
 ``skip``
-    A stream taken up again starts ``tokens`` after it.
+    A resumed stream starts ``tokens`` after the requested offset.
 ``jump``
-    Any stream leaves out ``tokens`` offsets after the first ``after`` of them.
+    Any stream omits ``tokens`` offsets after the first ``after`` of them.
 ``swap``
-    Streams carry another generation's id in their head.
+    Streams carry another generation's id in their headers.
 ``crossed``
-    Answers carry another exchange's id in their head.
+    Answers carry another exchange's id in their headers.
 ``garbage``
-    A stream's line after the first ``after`` is no JSON.
+    The line at offset ``after`` of a stream isn't valid JSON.
 ``leaving``
-    Load reports say that the engine leaves ``in_seconds`` from now, and it refuses
-    new work.
+    Load reports announce that the engine leaves ``in_seconds`` from now, and it
+    refuses new work.
 """
 
 from __future__ import annotations
@@ -48,7 +48,7 @@
 from .orders import Orders
 
 FAULT_NAMES = ("resend", "skip", "jump", "swap", "crossed", "garbage", "leaving")
-MAX_PIECE_TOKENS = 64
+MAX_WRITE_TOKENS = 64
 
 
 class GenerateBody(msgspec.Struct, kw_only=True):
@@ -65,22 +65,22 @@
 
 
 class Engine:
-    """The engine's routes.
+    """Serves the engine's protocol.
 
     Parameters
     ----------
     batch : Batch
-        The inside.
+        Generates the tokens.
     faults : Faults
-        The switches.
+        The faults that are switched on.
     does_honour_fencing : bool
-        Whether an order with an old fencing number is refused.
+        Whether an order with an old fencing token is refused.
     report_seconds : float
-        How often the load report is renewed; between, an old one is given.
+        Interval at which the load report is renewed; it is stale in between.
     load_seconds : float
         How long loading a model takes.
     clock : Clock or None
-        Whose wall time it reports.
+        Source of the wall time that it reports.
     """
 
     def __init__(
@@ -95,8 +95,9 @@
     ) -> None:
         self.batch = batch
         self.faults = faults
-        self._work = asyncio.Event()
-        self.started: list[dict[str, object]] = []
+        self._has_work = asyncio.Event()
+        # Every requested generation and its wall time, for tests.
+        self.requested: list[dict[str, object]] = []
         self._report_seconds = report_seconds
         self._loop = asyncio.get_running_loop()
         self._clock = clock or SystemClock()
@@ -109,7 +110,7 @@
         self._report = batch.report(self._loop.time(), self._clock.wall())
 
     def add_routes(self, router: Router) -> None:
-        """Serve the engine's protocol."""
+        """Add the routes of the engine's protocol."""
         router.add("POST", "/generate", self._generate)
         router.add("GET", "/generations/{generation_id}", self._resume)
         router.add("DELETE", "/generations/{generation_id}", self._cancel)
@@ -119,7 +120,7 @@
         router.add("GET", "/started", self._list_started)
 
     async def run(self) -> None:
-        """Make tokens for ever."""
+        """Generate tokens until cancelled."""
         next_report = 0.0
         step_at = self._loop.time()
         while True:
@@ -129,17 +130,17 @@
                 self._report = self.batch.report(now, self._clock.wall())
                 next_report = now + self._report_seconds
             if self.batch.is_idle:
-                await self._wait_work(next_report - now)
+                await self._wait_for_work(next_report - now)
                 step_at = self._loop.time()
                 continue
             step_at = max(step_at + self.batch.step_seconds, now)
             await asyncio.sleep(step_at - now)
 
-    async def _wait_work(self, seconds: float) -> None:
-        self._work.clear()
+    async def _wait_for_work(self, seconds: float) -> None:
+        self._has_work.clear()
         try:
             async with asyncio.timeout(seconds):
-                await self._work.wait()
+                await self._has_work.wait()
         except TimeoutError:
             pass
 
@@ -149,8 +150,8 @@
         except msgspec.MsgspecError as exc:
             await send_error(res, 400, "bad_body", place="body", message=str(exc))
             return
-        asked = {"generation_id": body.generation_id, "at": self._clock.wall()}
-        self.started.append(asked)
+        entry = {"generation_id": body.generation_id, "at": self._clock.wall()}
+        self.requested.append(entry)
         reason = self._refusal(body)
         if reason is not None:
             await res.send_json(
@@ -170,12 +171,12 @@
                 body.priority,
                 self._loop.time(),
             )
-            self._work.set()
+            self._has_work.set()
             generation.deadline = self._deadline(req)
             await self._stream(res, generation, 0)
 
     def _deadline(self, req: Request) -> float | None:
-        """Return the loop time at which the caller gives up, where it says."""
+        """Return the caller's deadline as a loop time, or None without one."""
         text = req.headers.get("x-deadline-at")
         if text is None:
             return None
@@ -195,24 +196,24 @@
     async def _resume(self, req: Request, res: Responder, params: Params) -> None:
         generation = self.batch.generations.get(params["generation_id"])
         if generation is None:
-            await self._unknown(res)
+            await self._send_unknown(res)
             return
         start = int(parse_qs(req.query).get("from", ["0"])[0])
         for name, sign in (("resend", -1), ("skip", 1)):
             fault = self.faults.take(name, req.path)
             if fault is not None:
-                start += sign * _option(fault.options, "tokens", 1)
+                start += sign * _int_option(fault.options, "tokens", 1)
         log_message("engine:resumed", generation_id=generation.generation_id, at=start)
         await self._stream(res, generation, max(0, start))
 
     async def _cancel(self, req: Request, res: Responder, params: Params) -> None:
         generation = self.batch.generations.get(params["generation_id"])
         if generation is None:
-            await self._unknown(res)
+            await self._send_unknown(res)
             return
-        asked = parse_qs(req.query).get("reader")
-        if asked is not None and int(asked[0]) != generation.reader:
-            # Whoever cancels was paused or slow, and another reader has come since.
+        readers = parse_qs(req.query).get("reader")
+        if readers is not None and int(readers[0]) != generation.reader:
+            # The canceller was paused or slow, and a newer reader took over since.
             await res.send_json(409, {"reason": "newer_reader"}, self._headers())
             return
         self.batch.cancel(generation, self._loop.time())
@@ -221,8 +222,8 @@
     async def _stream(self, res: Responder, generation: Generation, start: int) -> None:
         generation.reader += 1
         generation.n_readers += 1
-        # Without this a reader that left would be noticed only at the next token.
-        res.lost.add_done_callback(lambda _: generation.note_change())
+        # Without this a lost reader would be noticed only at the next token.
+        res.lost.add_done_callback(lambda _: generation.notify_change())
         headers = self._headers()
         headers["content-type"] = "application/x-ndjson"
         headers["x-reader"] = str(generation.reader)
@@ -236,12 +237,12 @@
         try:
             while True:
                 while offset < generation.n_produced:
-                    stop = min(generation.n_produced, offset + MAX_PIECE_TOKENS)
+                    stop = min(generation.n_produced, offset + MAX_WRITE_TOKENS)
                     await res.write(self._lines(generation, offset, stop))
                     offset = stop
                 if generation.end is not None:
                     break
-                await generation.wait_change()
+                await generation.wait_for_change()
                 if res.is_lost:
                     return
             end = {
@@ -263,10 +264,12 @@
         lines = []
         for offset in range(start, stop):
             if jump is not None:
-                after = _option(jump.options, "after", 0)
-                if after <= offset < after + _option(jump.options, "tokens", 1):
+                after = _int_option(jump.options, "after", 0)
+                if after <= offset < after + _int_option(jump.options, "tokens", 1):
                     continue
-            if garbage is not None and offset == _option(garbage.options, "after", 0):
+            if garbage is not None and offset == _int_option(
+                garbage.options, "after", 0
+            ):
                 lines.append(b"}garbage{\n")
                 self.faults.take("garbage")
                 continue
@@ -279,39 +282,39 @@
         if leaving is None:
             self.batch.leaving_at = None
         elif self.batch.leaving_at is None:
-            in_seconds = _option(leaving.options, "in_seconds", 30)
+            in_seconds = _int_option(leaving.options, "in_seconds", 30)
             self.batch.leaving_at = self._clock.wall() + in_seconds
         report = replace(self._report, leaving_at=self.batch.leaving_at)
         await res.send_json(200, report, self._headers())
 
     async def _cache_events(self, req: Request, res: Responder, params: Params) -> None:
         after = int(parse_qs(req.query).get("after", ["0"])[0])
-        seen_until = self._loop.time() - self.batch.event_seconds
-        offset = self._clock.wall() - self._loop.time()
+        published_until = self._loop.time() - self.batch.event_seconds
+        wall_offset = self._clock.wall() - self._loop.time()
         events = []
         next_after = after
         for event in self.batch.events:
             sequence, at = event["sequence"], event["at"]
             assert isinstance(sequence, int) and isinstance(at, float)
-            if sequence <= after or at > seen_until:
+            if sequence <= after or at > published_until:
                 continue
-            events.append({**event, "at": at + offset})
+            events.append({**event, "at": at + wall_offset})
             next_after = max(next_after, sequence)
         value = {"events": events, "next": next_after}
         await res.send_json(200, value, self._headers())
 
     async def _list_started(self, req: Request, res: Responder, params: Params) -> None:
-        """Give, for tests, every generation that was asked for and when."""
-        await res.send_json(200, {"started": self.started})
+        """Answer with every requested generation and its time, for tests."""
+        await res.send_json(200, {"started": self.requested})
 
-    async def _unknown(self, res: Responder) -> None:
+    async def _send_unknown(self, res: Responder) -> None:
         await res.send_json(404, {"reason": "unknown_generation"}, self._headers())
 
     def _headers(self) -> dict[str, str]:
         return {"x-engine-incarnation": self.batch.incarnation}
 
 
-def _option(options: Mapping[str, object], name: str, default: int) -> int:
+def _int_option(options: Mapping[str, object], name: str, default: int) -> int:
     value = options.get(name, default)
     return value if isinstance(value, int) else default
 
@@ -324,7 +327,7 @@
     clock: Clock | None = None,
     network: Network | None = None,
 ) -> tuple[FaultyServer, asyncio.Task[None]]:
-    """Start an engine in this loop; returns its server and the task that runs it."""
+    """Start an engine in the running loop; returns its server and its task."""
     faults = Faults(clock=clock, more_names=FAULT_NAMES)
     engine = Engine(
         batch=batch,
@@ -354,23 +357,29 @@
 
 
 def main(
-    listen: str = typer.Option("127.0.0.1:0", help="IP:PORT; port 0 takes a free one."),
-    name: str = typer.Option("engine", help="What it calls itself."),
-    model: str = typer.Option("draft", help="The model it starts with."),
-    version: str = typer.Option("", help="The version of that model."),
-    tokens_per_second: float = typer.Option(30.0, help="Pace of each generation."),
-    memory_tokens: int = typer.Option(20_000, help="Tokens the memory holds."),
+    listen: str = typer.Option(
+        "127.0.0.1:0", help="IP:PORT; port 0 selects a free port."
+    ),
+    name: str = typer.Option("engine", help="Name of the engine."),
+    model: str = typer.Option("draft", help="Model that is loaded at the start."),
+    version: str = typer.Option("", help="Version of that model."),
+    tokens_per_second: float = typer.Option(
+        30.0, help="Token rate of each generation."
+    ),
+    memory_tokens: int = typer.Option(20_000, help="Memory size in tokens."),
     seed: int = typer.Option(1, help="Seed of the answers' lengths."),
     keep_seconds: float = typer.Option(
-        120.0, help="Seconds for which an ended generation can be read."
+        120.0, help="Seconds for which a finished generation can be read."
     ),
     unread_seconds: float = typer.Option(
-        60.0, help="Seconds without a reader after which a generation is given up."
+        60.0, help="Seconds without a reader after which a generation is cancelled."
+    ),
+    fencing: str = typer.Option(
+        "honoured", help="Fencing of orders: honoured or ignored."
     ),
-    fencing: str = typer.Option("honoured", help="honoured or ignored, for orders."),
-    log: Path | None = typer.Option(None, help="File for log lines; none without."),  # noqa: B008
+    log: Path | None = typer.Option(None, help="Log file; no log without it."),  # noqa: B008
 ) -> None:
-    """Stand in for a model engine."""
+    """Run a stand-in for a model engine."""
     if log is not None:
         start_logging(name, str(log))
     batch = Batch(
--- a/standins/faults.py
+++ b/standins/faults.py
@@ -1,32 +1,33 @@
 """Fault switches that all stand-ins share, set by ``PUT /faults``.
 
-The body is one fault, ``{"name": ..., "until_at": ..., ...}``, added to those that
-are set; a fault of the same name and path replaces the former; ``{}`` clears all.
+The body is one fault, ``{"name": ..., "until_at": ..., ...}``. It is added to the
+active ones, where it replaces a fault of the same name and path; ``{}`` clears all.
 ``GET /faults`` lists them. Every fault may carry ``until_at`` (seconds since the
-epoch), ``path`` (only requests whose path starts so) and ``n`` (only the next n
+epoch), ``path`` (only requests whose path has this prefix) and ``n`` (only the next n
 requests). The names:
 
 ``outage``
     Every request is answered 503 without effect, with ``retry_after`` (seconds) and
     ``not_run``, or cut without an answer where ``cut`` is true.
 ``refuse``
-    Connections are refused; needs ``until_at``, as nothing else can reach it then.
+    Connections are refused. ``until_at`` is required, as ``/faults`` is unreachable
+    then as well.
 ``slow``
     Each request waits ``seconds`` before its effect.
 ``lose_reply``
     The effect happens, then the connection is closed without an answer. For a
     streamed answer, ``after_writes`` pieces of it come first.
 ``stall``
-    The request is taken and nothing happens, nor is the connection closed. For a
-    streamed answer, ``after_writes`` pieces of it come first.
+    The request is accepted without effect or answer, and the connection stays open.
+    For a streamed answer, ``after_writes`` pieces of it come first.
 ``stall_reply``
-    The effect happens, then silence on an open connection.
+    The effect happens, but no answer is sent and the connection stays open.
 ``freeze``
-    Everything stands still and then goes on, as with SIGSTOP and SIGCONT: effects
-    happen late. Streams stand still between two pieces.
+    All requests pause and then continue, as with SIGSTOP and SIGCONT: effects happen
+    late. Streams pause between two pieces.
 
-A stand-in adds its own names by handing `Faults` its ``more_names`` and asking
-`Faults.find`.
+A stand-in adds faults of its own by passing their names to `Faults` as ``more_names``
+and checking them with `Faults.find`.
 """
 
 from __future__ import annotations
@@ -52,12 +53,12 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Fault:
-    """One fault that is switched on; the module's docstring tells the fields.
+    """One fault that is switched on; the module's docstring describes the fields.
 
     Parameters
     ----------
     options : Mapping
-        Fields of faults that only one stand-in knows.
+        Further fields, for the faults of one stand-in.
     """
 
     name: str
@@ -77,9 +78,9 @@
     Parameters
     ----------
     clock : Clock
-        Whose wall time ends faults.
+        Source of the wall time at which faults end.
     more_names : tuple of str
-        Names of faults that only this stand-in has.
+        Names of the faults that only this stand-in has.
     """
 
     def __init__(
@@ -91,19 +92,19 @@
         self._changed = asyncio.Event()
 
     def add(self, fault: Fault) -> None:
-        """Switch a fault on."""
-        same = (fault.name, fault.path)
-        self._faults = [f for f in self._faults if (f.name, f.path) != same]
+        """Switch a fault on, in place of one with the same name and path."""
+        identity = (fault.name, fault.path)
+        self._faults = [f for f in self._faults if (f.name, f.path) != identity]
         self._faults.append(fault)
-        self._note_change()
+        self._notify_change()
 
     def clear(self) -> None:
         """Switch all faults off."""
         self._faults = []
-        self._note_change()
+        self._notify_change()
 
     def active(self) -> list[Fault]:
-        """Return the faults that hold now."""
+        """Return the faults that haven't expired or been used up."""
         now = self.clock.wall()
         self._faults = [
             f
@@ -113,14 +114,14 @@
         return list(self._faults)
 
     def find(self, name: str, path: str = "") -> Fault | None:
-        """Return the fault of a name that holds for a path, if any."""
+        """Return the active fault of a name that applies to a path, if any."""
         for fault in self.active():
             if fault.name == name and path.startswith(fault.path):
                 return fault
         return None
 
     def take(self, name: str, path: str = "") -> Fault | None:
-        """Like `find`, counting down the fault's ``n``."""
+        """Return what `find` returns, and count down the fault's ``n``."""
         fault = self.find(name, path)
         if fault is not None and fault.n is not None:
             index = self._faults.index(fault)
@@ -128,7 +129,7 @@
         return fault
 
     async def wait_while(self, name: str, path: str = "") -> None:
-        """Wait for as long as a fault holds."""
+        """Wait until no fault of a name applies to a path."""
         while (fault := self.find(name, path)) is not None:
             timeout = None
             if fault.until_at is not None:
@@ -146,15 +147,15 @@
         await self._changed.wait()
 
     def put(self, body: bytes) -> Result[Fault | None, Finding]:
-        """Take the body of ``PUT /faults``; None stands for cleared."""
+        """Apply the body of ``PUT /faults``; returns None if it cleared all faults."""
         try:
             raw = msgspec.json.decode(body or b"{}", type=dict[str, object])
             if not raw:
                 self.clear()
                 return Ok(None)
-            known = {f for f in Fault.__dataclass_fields__ if f != "options"}
-            options = {k: v for k, v in raw.items() if k not in known}
-            plain = {k: v for k, v in raw.items() if k in known}
+            field_names = {f for f in Fault.__dataclass_fields__ if f != "options"}
+            options = {k: v for k, v in raw.items() if k not in field_names}
+            plain = {k: v for k, v in raw.items() if k in field_names}
             fault = msgspec.convert({**plain, "options": options}, Fault)
         except msgspec.MsgspecError as exc:
             return Err(Finding(place="body", problem=str(exc)))
@@ -166,19 +167,19 @@
         self.add(fault)
         return Ok(fault)
 
-    def _note_change(self) -> None:
+    def _notify_change(self) -> None:
         self._changed.set()
 
 
 class FaultyHandler(Handler):
-    """Serves ``/faults`` and puts the faults between callers and a handler.
+    """Serves ``/faults`` and applies the faults to the requests of a handler.
 
     Parameters
     ----------
     inner : Handler
-        What answers when no fault prevents it.
+        Answers the requests when no fault prevents it.
     faults : Faults
-        The switches.
+        The faults that are switched on.
     """
 
     def __init__(self, *, inner: Handler, faults: Faults) -> None:
@@ -186,18 +187,18 @@
         self._faults = faults
 
     async def handle(self, req: Request, res: Responder) -> None:
-        """Answer, or fail as the faults say."""
+        """Answer a request, or fail as an active fault requires."""
         if req.path == FAULTS_PATH:
-            await self._set(req, res)
+            await self._serve_faults(req, res)
             return
         faults = self._faults
         await faults.wait_while("freeze", req.path)
         if (fault := faults.take("outage", req.path)) is not None:
-            await _refuse(fault, res)
+            await _answer_outage(fault, res)
             return
         stall = faults.take("stall", req.path)
         if stall is not None and stall.after_writes == 0:
-            await _stand_still(res)
+            await _hold_connection(res)
             return
         if (fault := faults.take("slow", req.path)) is not None:
             await asyncio.sleep(fault.seconds)
@@ -206,12 +207,12 @@
             faults=faults,
             path=req.path,
             stall=stall,
-            mute=faults.take("stall_reply", req.path),
-            cut=faults.take("lose_reply", req.path),
+            stall_reply=faults.take("stall_reply", req.path),
+            lose_reply=faults.take("lose_reply", req.path),
         )
         await self._inner.handle(req, faulty)
 
-    async def _set(self, req: Request, res: Responder) -> None:
+    async def _serve_faults(self, req: Request, res: Responder) -> None:
         if req.method == "GET":
             await res.send_json(200, {"faults": self._faults.active()})
             return
@@ -229,14 +230,14 @@
 
 
 class FaultyServer:
-    """Listens with a `FaultyHandler` and carries out the fault ``refuse``.
+    """Listens with a `FaultyHandler` and implements the fault ``refuse``.
 
     Parameters
     ----------
     inner : Handler
-        What answers when no fault prevents it.
+        Answers the requests when no fault prevents it.
     faults : Faults
-        The switches.
+        The faults that are switched on.
     limits : ServerLimits
         Bounds of the server.
     """
@@ -253,14 +254,14 @@
         self.address = Address(host="127.0.0.1", port=1)
 
     async def start(self, address: Address, network: Network | None = None) -> Address:
-        """Listen; returns the real address.
+        """Listen; returns the bound address.
 
         Parameters
         ----------
         address : Address
-            Where; port 0 takes a free one.
+            Address to bind; port 0 selects a free port.
         network : Network or None
-            What carries the connections; the machine's own by default.
+            Carries the connections; the machine's network by default.
         """
         self._network = network
         self._server = self._new_server()
@@ -293,7 +294,7 @@
 
 
 class _FaultyResponder(Responder):
-    """Passes an answer on, or stops as the faults say."""
+    """Forwards an answer, or stops it as the request's faults require."""
 
     def __init__(
         self,
@@ -302,8 +303,8 @@
         faults: Faults,
         path: str,
         stall: Fault | None,
-        mute: Fault | None,
-        cut: Fault | None,
+        stall_reply: Fault | None,
+        lose_reply: Fault | None,
     ) -> None:
         super().__init__(conn=res._conn, limits=res._limits)
         self.is_closing = res.is_closing
@@ -311,46 +312,48 @@
         self._faults = faults
         self._path = path
         self._stall = stall
-        self._mute = mute
-        self._cut = cut
+        self._stall_reply = stall_reply
+        self._lose_reply = lose_reply
         self._n_writes = 0
 
     async def send(
         self, status: int, body: bytes = b"", headers: Mapping[str, str] | None = None
     ) -> None:
-        """Send a whole answer, unless a fault takes it."""
+        """Send a whole answer, unless a fault drops it."""
         await self._faults.wait_while("freeze", self._path)
-        if self._cut is not None:
+        if self._lose_reply is not None:
             self.abort()
-        elif self._mute is not None:
-            await _stand_still(self)
+        elif self._stall_reply is not None:
+            await _hold_connection(self)
         else:
             self._res.status = status
             await super().send(status, body, headers)
 
     async def write(self, data: bytes) -> None:
-        """Send a piece, unless a fault takes it."""
+        """Send a piece, unless a fault stops the stream before it."""
         await self._faults.wait_while("freeze", self._path)
-        await self._stop_after(self._n_writes)
+        await self._stop_if_due(self._n_writes)
         self._n_writes += 1
         await super().write(data)
 
     async def finish(self) -> None:
-        """Send the end, unless a fault takes it."""
-        await self._stop_after(None)
+        """Send the end, unless a fault stops the stream before it."""
+        await self._stop_if_due(None)
         await super().finish()
 
-    async def _stop_after(self, n_writes: int | None) -> None:
-        cut, stall = self._cut, self._stall
-        if cut is not None and (n_writes is None or n_writes >= cut.after_writes):
+    async def _stop_if_due(self, n_writes: int | None) -> None:
+        lose_reply, stall = self._lose_reply, self._stall
+        if lose_reply is not None and (
+            n_writes is None or n_writes >= lose_reply.after_writes
+        ):
             self.abort()
             raise PeerError("the fault lose_reply cut the answer")
         if stall is not None and (n_writes is None or n_writes >= stall.after_writes):
-            await _stand_still(self)
+            await _hold_connection(self)
             raise PeerError("the fault stall held the answer until the caller left")
 
 
-async def _refuse(fault: Fault, res: Responder) -> None:
+async def _answer_outage(fault: Fault, res: Responder) -> None:
     if fault.cut:
         res.abort()
         return
@@ -358,7 +361,7 @@
     await res.send_json(503, body, {"retry-after": str(fault.retry_after)})
 
 
-async def _stand_still(res: Responder) -> None:
-    """Say nothing until the caller has given up."""
+async def _hold_connection(res: Responder) -> None:
+    """Keep the connection open without an answer until the caller closes it."""
     await res.lost
     res.abort()
--- a/standins/modelworker.py
+++ b/standins/modelworker.py
@@ -1,4 +1,4 @@
-"""A model engine as a process of its own on the network, around the engine's model."""
+"""A stand-in worker that serves the platform's protocol around `EngineModel`."""
 
 from __future__ import annotations
 
@@ -18,20 +18,21 @@
 from .enginemodel import EngineModel, EngineSpec, Job, Link
 from .worker import Worker
 
-# Between two parts of a copy that grows with its run, in seconds.
-BACKUP_SECONDS = 0.25
-# How old what an engine says of its load is, in seconds.
+# Interval between two increments of a run's backup, in seconds.
+BACKUP_INTERVAL_SECONDS = 0.25
+# Age of a load report when it is served, in seconds.
 REPORT_LAG_SECONDS = 0.5
-REPORT_EVERY_SECONDS = 0.1
-# How long a copy waits for its use, in seconds.
-COPY_SECONDS = 5.0
-FAR_FACTOR = 2.0
+REPORT_INTERVAL_SECONDS = 0.1
+# Time after which an unused copy is dropped, in seconds.
+COPY_LIFETIME_SECONDS = 5.0
+# A copy between failure domains takes this many times as long.
+CROSS_DOMAIN_FACTOR = 2.0
 LENGTH_MARK = b"length="
 
 
 @dataclass(kw_only=True)
 class _Stream:
-    """A request, and what its answer still has to send."""
+    """A request and the state of its answer's stream."""
 
     job: Job
     backup: str | None = None
@@ -39,13 +40,15 @@
     is_ended: bool = False
     is_cut: bool = False
     is_moving: bool = False
-    # What was copied of it, in tokens, by the other engine's address.
-    copied: dict[str, int] = field(default_factory=dict)
-    news: asyncio.Event = field(default_factory=asyncio.Event)
+    # Tokens of the run that each other engine holds, by the engine's address.
+    n_copied: dict[str, int] = field(default_factory=dict)
+    changed: asyncio.Event = field(default_factory=asyncio.Event)
 
 
 @dataclass(frozen=True, kw_only=True)
 class _Copy:
+    """A run's memory at this engine, and when it is dropped if it isn't used."""
+
     job: Job
     n_tokens: int
     drop_at: float
@@ -57,13 +60,13 @@
     Parameters
     ----------
     worker_id, failure_domain : str
-        What it calls itself, and where it is.
+        Its id and its failure domain.
     spec : EngineSpec
-        What it has.
+        Its capacity and speed.
     find : callable
-        Returns the engine at an address, if one lives there.
+        Returns the engine at an address, or None.
     network : Network
-        What carries its connections.
+        Carries its connections.
     """
 
     def __init__(
@@ -80,8 +83,8 @@
         self.model = EngineModel(spec=spec)
         self.link = Link()
         self.leaves_at: float | None = None
-        self.is_dead = False
-        # Attempts whose prompt it read from the start, not from a copy.
+        self.is_closed = False
+        # Attempts that started with a prefill, not from a copy.
         self.begun: list[str] = []
         self._find = find
         self._streams: dict[str, _Stream] = {}
@@ -91,54 +94,58 @@
         self._tasks: list[asyncio.Task[None]] = []
 
     async def start(self) -> Address:
-        """Listen, and begin to step."""
+        """Listen, and start the background tasks."""
         address = await super().start()
         loop = asyncio.get_running_loop()
-        for work in (self._step_on(), self._note_reports(), self._back_up()):
-            self._tasks.append(loop.create_task(work))
+        for coroutine in (
+            self._run_steps(),
+            self._record_reports(),
+            self._update_backups(),
+        ):
+            self._tasks.append(loop.create_task(coroutine))
         return address
 
     async def close(self) -> None:
-        """Die: all connections are cut."""
-        self.is_dead = True
+        """Stop as in a crash: all connections are cut."""
+        self.is_closed = True
         for task in self._tasks:
             task.cancel()
         await super().close()
 
-    # The engine's own work.
+    # Steps and load reports.
 
-    async def _step_on(self) -> None:
+    async def _run_steps(self) -> None:
         loop = asyncio.get_running_loop()
         while True:
             if self.model.is_idle:
                 self._has_work.clear()
                 await self._has_work.wait()
-            self._drop_copies(loop.time())
+            self._drop_expired_copies(loop.time())
             step = self.model.step()
             await asyncio.sleep(step.seconds)
-            for job in step.made:
+            for job in step.decoded:
                 stream = self._streams.get(job.attempt_id)
                 if stream is not None and stream.job is job:
-                    self._note_token(stream)
+                    self._on_token(stream)
 
-    def _note_token(self, stream: _Stream) -> None:
+    def _on_token(self, stream: _Stream) -> None:
         job = stream.job
-        n_whole, n_over = divmod(job.n_made, self.model.spec.n_event_tokens)
-        # The step is over only now; what it made could not be sent before.
-        stream.n_events = n_whole + (1 if job.is_done and n_over else 0)
+        n_whole, n_rest = divmod(job.n_generated, self.model.spec.n_event_tokens)
+        # Called when the step ends; its tokens can't be sent before.
+        stream.n_events = n_whole + (1 if job.is_done and n_rest else 0)
         stream.is_ended = job.is_done
-        stream.news.set()
+        stream.changed.set()
 
-    def _drop_copies(self, now: float) -> None:
+    def _drop_expired_copies(self, now: float) -> None:
         for name, copy in list(self._copies.items()):
             if now >= copy.drop_at:
-                self._forget_copy(name)
+                self._drop_copy(name)
 
-    def _forget_copy(self, name: str) -> None:
+    def _drop_copy(self, name: str) -> None:
         self._copies.pop(name, None)
         self.model.copies.pop(name, None)
 
-    async def _note_reports(self) -> None:
+    async def _record_reports(self) -> None:
         loop = asyncio.get_running_loop()
         while True:
             model = self.model
@@ -151,33 +158,33 @@
                 "state": "ready" if self.leaves_at is None else "draining",
             }
             if self.leaves_at is not None:
-                left = max(0.0, self.leaves_at - loop.time())
-                report["leaves_ms"] = round(left * 1_000)
+                seconds_left = max(0.0, self.leaves_at - loop.time())
+                report["leaves_ms"] = round(seconds_left * 1_000)
             self._reports.append((loop.time(), report))
-            await asyncio.sleep(REPORT_EVERY_SECONDS)
+            await asyncio.sleep(REPORT_INTERVAL_SECONDS)
 
     # Copies.
 
-    async def _back_up(self) -> None:
-        """Send what grew of each run that has a backup, several times a second."""
+    async def _update_backups(self) -> None:
+        """Copy the growth of each run to its backup, several times a second."""
         while True:
-            await asyncio.sleep(BACKUP_SECONDS)
+            await asyncio.sleep(BACKUP_INTERVAL_SECONDS)
             for stream in list(self._streams.values()):
                 target = self._find(stream.backup) if stream.backup else None
-                if target is not None and stream.job.n_unread == 0:
+                if target is not None and stream.job.n_prefill == 0:
                     name = f"{target.address}/{stream.job.attempt_id}"
                     await self._copy(stream, target, name)
 
     async def _copy(self, stream: _Stream, target: ModelWorker, name: str) -> bool:
-        """Copy what is new of a run; False where there is no room for it."""
+        """Copy the growth of a run; False without capacity, or if an engine closed."""
         loop = asyncio.get_running_loop()
         job = stream.job
-        n_before = stream.copied.get(str(target.address), 0)
+        n_before = stream.n_copied.get(str(target.address), 0)
         n_tokens = job.n_tokens
-        is_known = name in target._copies
-        if not is_known and not target.model.has_room_for(n_tokens):
+        is_held = name in target._copies
+        if not is_held and not target.model.can_hold_copy(n_tokens):
             return False
-        # The place is taken from the first moment on.
+        # The target's slot and memory are reserved before the transfer starts.
         target.model.copies[name] = n_tokens
         spec = self.model.spec
         n_bytes = (n_tokens - n_before) * spec.token_bytes
@@ -185,15 +192,15 @@
         seconds = (
             n_bytes
             / spec.link_bytes_per_second
-            * (FAR_FACTOR if is_cross_domain else 1)
+            * (CROSS_DOMAIN_FACTOR if is_cross_domain else 1)
         )
-        ends_at = Link.take(self.link, target.link, n_bytes, seconds, loop.time())
+        ends_at = Link.book(self.link, target.link, n_bytes, seconds, loop.time())
         await asyncio.sleep(ends_at - loop.time())
-        if target.is_dead or self.is_dead:
+        if target.is_closed or self.is_closed:
             return False
-        stream.copied[str(target.address)] = n_tokens
+        stream.n_copied[str(target.address)] = n_tokens
         target._copies[name] = _Copy(
-            job=job, n_tokens=n_tokens, drop_at=loop.time() + COPY_SECONDS
+            job=job, n_tokens=n_tokens, drop_at=loop.time() + COPY_LIFETIME_SECONDS
         )
         return True
 
@@ -211,47 +218,47 @@
         target = self._find(order["to"])
         job = stream.job
         if order["last"]:
-            # The run stops here, and its stream is closed without its end.
+            # The run stops at this engine, and its stream is cut before its end.
             self.model.withdraw(job)
-            self._hold(f"{self.address}/{handle}", job)
+            self._hold_copy(f"{self.address}/{handle}", job)
             stream.is_cut = True
-        copied = target is not None and await self._copy(
+        is_copied = target is not None and await self._copy(
             stream, target, f"{self.address}/{handle}"
         )
         stream.is_moving = False
-        stream.news.set()
-        if not copied:
+        stream.changed.set()
+        if not is_copied:
             body = {"handle": handle} if order["last"] else {}
             await res.send_json(503, body)
             return
         if order["last"]:
-            self._forget_copy(f"{self.address}/{handle}")
-        n_events = job.n_made // self.model.spec.n_event_tokens
+            self._drop_copy(f"{self.address}/{handle}")
+        n_events = job.n_generated // self.model.spec.n_event_tokens
         await res.send_json(200, {"handle": handle, "created": n_events})
 
-    def _hold(self, name: str, job: Job) -> None:
-        drop_at = asyncio.get_running_loop().time() + COPY_SECONDS
+    def _hold_copy(self, name: str, job: Job) -> None:
+        drop_at = asyncio.get_running_loop().time() + COPY_LIFETIME_SECONDS
         self._copies[name] = _Copy(job=job, n_tokens=job.n_tokens, drop_at=drop_at)
         self.model.copies[name] = job.n_tokens
 
-    async def _free(self, req: Request, res: Responder) -> None:
+    async def _free_copy(self, req: Request, res: Responder) -> None:
         handle = req.path.rpartition("/")[2]
         names = [name for name in self._copies if name.endswith(f"/{handle}")]
         for name in names:
-            self._forget_copy(name)
+            self._drop_copy(name)
         await res.send(200 if names else 404)
 
-    # Calls.
+    # Requests.
 
     async def _answer_other(self, req: Request, res: Responder) -> bool:
         if req.path == "/api/report":
-            lag = asyncio.get_running_loop().time() - REPORT_LAG_SECONDS
-            old = [report for at, report in self._reports if at <= lag]
-            await res.send_json(200, old[-1] if old else self._reports[0][1])
+            latest_at = asyncio.get_running_loop().time() - REPORT_LAG_SECONDS
+            stale = [report for at, report in self._reports if at <= latest_at]
+            await res.send_json(200, stale[-1] if stale else self._reports[0][1])
         elif req.path == "/api/kv-move":
             await self._move(req, res)
         elif req.path.startswith("/api/kv-handle/"):
-            await self._free(req, res)
+            await self._free_copy(req, res)
         else:
             return False
         return True
@@ -263,16 +270,16 @@
             await res.send(503, headers=headers)
             return
         self.ran.append(attempt_id)
-        if not job.is_copy:
+        if not job.is_from_copy:
             self.begun.append(attempt_id)
         stream = _Stream(job=job, backup=req.headers.get("x-kv-backup"))
         self._streams[attempt_id] = stream
         self._has_work.set()
-        first = 0
+        first_event = 0
         if "last-event-id" in req.headers:
-            first = int(req.headers["last-event-id"]) + 1
+            first_event = int(req.headers["last-event-id"]) + 1
         try:
-            await self._send_events(res, stream, first)
+            await self._send_events(res, stream, first_event)
         finally:
             self.model.withdraw(job)
             if self._streams.get(attempt_id) is stream:
@@ -294,7 +301,7 @@
         return Job(
             attempt_id=attempt_id,
             n_prompt=n_prompt,
-            n_output=_length(req.body),
+            n_output=_answer_length(req.body),
             parts=parts,
             priority=int(req.headers.get("x-request-priority", "5")),
         )
@@ -303,25 +310,27 @@
         copy = self._copies.get(name)
         if copy is None:
             return None
-        self._forget_copy(name)
-        former = copy.job
+        self._drop_copy(name)
+        source_job = copy.job
         return Job(
-            attempt_id=former.attempt_id,
-            n_prompt=former.n_prompt,
-            n_output=former.n_output,
-            parts=former.parts,
-            priority=former.priority,
-            n_made=former.n_made,
-            n_unread=former.n_tokens - copy.n_tokens,
-            is_copy=True,
+            attempt_id=source_job.attempt_id,
+            n_prompt=source_job.n_prompt,
+            n_output=source_job.n_output,
+            parts=source_job.parts,
+            priority=source_job.priority,
+            n_generated=source_job.n_generated,
+            n_prefill=source_job.n_tokens - copy.n_tokens,
+            is_from_copy=True,
         )
 
-    async def _send_events(self, res: Responder, stream: _Stream, first: int) -> None:
+    async def _send_events(
+        self, res: Responder, stream: _Stream, first_event: int
+    ) -> None:
         attempt_id = stream.job.attempt_id
         headers = {**self._headers(attempt_id), "content-type": "text/event-stream"}
-        # The head comes with the first token, as a request that waits has not begun.
+        # The headers are sent with the first event: a waiting request hasn't started.
         is_begun = False
-        number = first
+        number = first_event
         while True:
             while number < stream.n_events:
                 if not is_begun:
@@ -334,32 +343,32 @@
             if stream.is_cut or res.is_lost:
                 res.abort()
                 return
-            stream.news.clear()
-            await self._await_news(stream, res)
+            stream.changed.clear()
+            await self._await_change(stream, res)
         if not is_begun:
             res.start(200, headers)
         await res.finish()
 
     @staticmethod
-    async def _await_news(stream: _Stream, res: Responder) -> None:
-        news = asyncio.ensure_future(stream.news.wait())
-        waiting: set[asyncio.Future[Any]] = {news, res.lost}
+    async def _await_change(stream: _Stream, res: Responder) -> None:
+        changed = asyncio.ensure_future(stream.changed.wait())
+        waiting: set[asyncio.Future[Any]] = {changed, res.lost}
         try:
             await asyncio.wait(waiting, return_when=asyncio.FIRST_COMPLETED)
         finally:
-            news.cancel()
+            changed.cancel()
 
 
 def event(attempt_id: str, number: int) -> bytes:
-    """Return the one right event of a run at a place of its stream."""
+    """Return the right event of a run at a position of its stream."""
     return f"id: {number}\ndata: {attempt_id} {number}\n\n".encode()
 
 
 def request_body(n_output: int) -> bytes:
-    """Return a body that tells a model engine how long its answer is."""
+    """Return a request body that sets the length of the answer, in tokens."""
     return LENGTH_MARK + str(n_output).encode()
 
 
-def _length(body: bytes) -> int:
+def _answer_length(body: bytes) -> int:
     _, _, digits = body.partition(LENGTH_MARK)
     return int(digits) if digits.isdigit() else 1
--- a/standins/orders.py
+++ b/standins/orders.py
@@ -1,4 +1,4 @@
-"""Orders to the stand-in engine, with fencing numbers honoured or ignored."""
+"""Orders to the stand-in engine, with fencing tokens checked or ignored."""
 
 from __future__ import annotations
 
@@ -31,16 +31,16 @@
 
 
 class Orders:
-    """Takes orders and carries them out on a batch.
+    """Accepts orders and applies them to a batch.
 
     Parameters
     ----------
     batch : Batch
-        What the orders are about.
+        The batch that the orders change.
     clock : Clock
-        Its wall time tells which orders have expired.
+        Source of the wall time at which orders expire.
     does_honour_fencing : bool
-        Whether an order with an old fencing number is refused.
+        Whether an order with an old fencing token is refused.
     load_seconds : float
         How long loading a model or an adapter takes.
     """
@@ -61,11 +61,11 @@
         self._headers = {"x-engine-incarnation": batch.incarnation}
 
     def add_routes(self, router: Router) -> None:
-        """Serve ``/orders``."""
-        router.add("POST", "/orders", self._order)
+        """Add the routes of ``/orders``."""
+        router.add("POST", "/orders", self._post_order)
         router.add("GET", "/orders", self._list_orders)
 
-    async def _order(self, req: Request, res: Responder, params: Params) -> None:
+    async def _post_order(self, req: Request, res: Responder, params: Params) -> None:
         try:
             order = msgspec.json.decode(req.body, type=OrderBody)
         except msgspec.MsgspecError as exc:
@@ -78,14 +78,14 @@
             value = {"reason": "old_fencing", "fencing": self._batch.fencing}
             await res.send_json(409, value, self._headers)
             return
-        if all(order.order_id != known["order_id"] for known in self._orders):
+        if all(order.order_id != previous["order_id"] for previous in self._orders):
             self._orders.append(msgspec.to_builtins(order))
             del self._orders[:-MAX_ORDERS]
             self._batch.fencing = max(self._batch.fencing, order.fencing)
-            await self._carry_out(order)
+            await self._apply(order)
         await res.send_json(200, {"order_id": order.order_id}, self._headers)
 
-    async def _carry_out(self, order: OrderBody) -> None:
+    async def _apply(self, order: OrderBody) -> None:
         log_message("engine:order", kind=order.kind, fencing=order.fencing)
         if order.kind == "load_model":
             await asyncio.sleep(self._load_seconds)
--- a/standins/platform.py
+++ b/standins/platform.py
@@ -1,11 +1,11 @@
 """A stand-in for the platform: its metadata store, with rates and faults.
 
-It keeps everything in memory. The store speaks the platform's published protocol
-(`RowStore`). Beside it it has ``GET /stats`` (how often each route had its effect) and
-this fault of its own:
+It keeps everything in memory. The store serves the platform's published protocol
+(`RowStore`). ``GET /stats`` returns how often each route had its effect. Besides the
+faults of `standins.faults` it has:
 
 ``stale``
-    Reads and scans are served from the rows as they were when the fault was set.
+    Reads and scans are served from a snapshot of the rows at the time of the fault.
 """
 
 from __future__ import annotations
@@ -27,24 +27,24 @@
 
 
 class _Bucket:
-    """A token bucket that holds one second's worth."""
+    """A token bucket with a capacity of one second of its rate."""
 
     def __init__(self, *, rate: float, clock: Clock) -> None:
         self._rate = rate
         self._clock = clock
-        self._level = max(rate, 1.0)
-        self._at = clock.monotonic()
+        self._n_tokens = max(rate, 1.0)
+        self._updated_at = clock.monotonic()
 
     def wait_seconds(self) -> float:
-        """Take a token; returns 0.0, or the seconds until there is one."""
+        """Take a token; returns 0.0, or the seconds until one is available."""
         now = self._clock.monotonic()
-        self._level += (now - self._at) * self._rate
-        self._level = min(self._level, max(self._rate, 1.0))
-        self._at = now
-        if self._level >= 1.0:
-            self._level -= 1.0
+        self._n_tokens += (now - self._updated_at) * self._rate
+        self._n_tokens = min(self._n_tokens, max(self._rate, 1.0))
+        self._updated_at = now
+        if self._n_tokens >= 1.0:
+            self._n_tokens -= 1.0
             return 0.0
-        return (1.0 - self._level) / self._rate
+        return (1.0 - self._n_tokens) / self._rate
 
 
 class PlatformStandin:
@@ -53,10 +53,9 @@
     Parameters
     ----------
     clock : Clock
-        Whose time holds.
+        Source of the time.
     writes_per_second, reads_per_second : float
-        Transactions, and reads, that are allowed a second; beyond them the answer is
-        429.
+        Limits of transactions and of reads; beyond them the answer is 429.
     """
 
     def __init__(
@@ -69,9 +68,9 @@
         self._clock = clock or SystemClock()
         self.store = RowStore()
         self.stats: dict[str, int] = {}
-        self._stale: RowTable | None = None
-        self._writes = _Bucket(rate=writes_per_second, clock=self._clock)
-        self._reads = _Bucket(rate=reads_per_second, clock=self._clock)
+        self._stale_rows: RowTable | None = None
+        self._write_bucket = _Bucket(rate=writes_per_second, clock=self._clock)
+        self._read_bucket = _Bucket(rate=reads_per_second, clock=self._clock)
         self.faults = Faults(clock=self._clock, more_names=("stale",))
         self.server = FaultyServer(inner=self._router(), faults=self.faults)
 
@@ -86,21 +85,22 @@
         return router
 
     async def _transact(self, req: Request, res: Responder, _: Params) -> None:
-        if await self._is_shed(self._writes, res):
+        if await self._is_shed(self._write_bucket, res):
             return
-        # The stale rows are those of just before the fault, so keep them in time.
-        self._note_stale()
+        # The snapshot must hold the rows as they were when the fault was set, so it is
+        # taken before a write as well.
+        self._update_stale_rows()
         version = self.store.rows.version
         await self.store.answer(req, res, self.store.rows)
         is_applied = self.store.rows.version > version
         self._count("transact" if is_applied else "conflict")
 
     async def _read(self, req: Request, res: Responder, _: Params) -> None:
-        if await self._is_shed(self._reads, res):
+        if await self._is_shed(self._read_bucket, res):
             return
         self._count("read")
-        self._note_stale()
-        await self.store.answer(req, res, self._stale or self.store.rows)
+        self._update_stale_rows()
+        await self.store.answer(req, res, self._stale_rows or self.store.rows)
 
     async def _put_object(self, req: Request, res: Responder, _: Params) -> None:
         self._count("put_object")
@@ -119,11 +119,11 @@
             await res.send(429)
         return seconds > 0
 
-    def _note_stale(self) -> None:
+    def _update_stale_rows(self) -> None:
         if self.faults.find("stale") is None:
-            self._stale = None
-        elif self._stale is None:
-            self._stale = self.store.rows.copy()
+            self._stale_rows = None
+        elif self._stale_rows is None:
+            self._stale_rows = self.store.rows.copy()
 
     def _count(self, name: str) -> None:
         self.stats[name] = self.stats.get(name, 0) + 1
@@ -136,15 +136,15 @@
 
 
 def main(
-    listen: Annotated[str, typer.Option(help="IP:PORT; port 0 takes a free one.")],
+    listen: Annotated[str, typer.Option(help="IP:PORT; port 0 selects a free port.")],
     writes_per_second: Annotated[
-        float, typer.Option(help="Transactions allowed a second.")
+        float, typer.Option(help="Limit of transactions per second.")
     ] = 1_000.0,
     reads_per_second: Annotated[
-        float, typer.Option(help="Reads and scans allowed a second.")
+        float, typer.Option(help="Limit of reads and scans per second.")
     ] = 4_000.0,
 ) -> None:
-    """Serve a stand-in for the platform until it is stopped."""
+    """Run a stand-in for the platform until it is stopped."""
     standin = PlatformStandin(
         writes_per_second=writes_per_second,
         reads_per_second=reads_per_second,
@@ -153,7 +153,7 @@
 
 
 def parse_listen(text: str) -> Address:
-    """Read ``IP:PORT`` where the port may be 0."""
+    """Parse ``IP:PORT``, where the port may be 0."""
     if text.endswith(":0"):
         return Address(host=text[:-2], port=0)
     return Address.parse(text)
--- a/standins/rowstore.py
+++ b/standins/rowstore.py
@@ -1,7 +1,8 @@
-"""A stand-in for the platform's metadata store, by its published protocol.
+"""A stand-in for the platform's metadata store, which serves its published protocol.
 
-Rows with one version counter, transactions with conditions, a feed of changes, objects,
-and the faults that its users must bear: silence, refusals, forgotten history.
+It has rows with one version counter, conditional transactions, a feed of changes and
+objects, and the faults that clients must tolerate: no answer, error statuses, and a
+feed whose history is lost.
 """
 
 from __future__ import annotations
@@ -19,7 +20,7 @@
 from celerytrail.http.server import Handler, HttpServer, Responder
 from celerytrail.types import Address
 
-from .rowtable import Place, RowTable, StoredRow
+from .rowtable import RowId, RowTable, StoredRow
 
 MAX_ROWS = 500
 OBJECT_PATHS = ("/api/blob-put/", "/api/blob-get/")
@@ -27,7 +28,7 @@
 
 @dataclass(kw_only=True)
 class StoreFaults:
-    """What the store does wrong at this time."""
+    """Faults that the store shows now; ``has_forgotten`` fails one feed call."""
 
     is_silent: bool = False
     status: int | None = None
@@ -40,7 +41,7 @@
     Parameters
     ----------
     network : Network or None
-        What carries its connections; the machine's own by default.
+        Carries its connections; the machine's network by default.
     """
 
     def __init__(self, *, network: Network | None = None) -> None:
@@ -60,22 +61,22 @@
         await self._server.close()
 
     def put(self, table: str, key: str, value: object) -> None:
-        """Write a row as the operator or an endpoint does; text is taken as bytes."""
+        """Write a row: bytes as they are, other values encoded as JSON."""
         data = value if isinstance(value, bytes) else msgspec.json.encode(value)
         encoded = base64.b64encode(data).decode("ascii")
         self.rows.commit({}, {(table, key): encoded}, [])
-        self._tell()
+        self._notify()
 
     def drop(self, table: str, key: str) -> None:
         """Remove a row."""
         self.rows.commit({}, {}, [(table, key)])
-        self._tell()
+        self._notify()
 
     def keys(self, table: str) -> list[str]:
         """Return the keys of a table's rows."""
         return [row.key for row in self.rows.find(table, "", None, MAX_ROWS)]
 
-    def _tell(self) -> None:
+    def _notify(self) -> None:
         self._changed.set()
         self._changed = asyncio.Event()
 
@@ -91,60 +92,62 @@
         await self.answer(req, res, self.rows)
 
     async def answer(self, req: Request, res: Responder, visible: RowTable) -> None:
-        """Answer one call; ``visible`` are the rows that reads are served from."""
-        asked = {name: values[0] for name, values in parse_qs(req.query).items()}
+        """Answer one call; reads are served from the rows in ``visible``."""
+        query = {name: values[0] for name, values in parse_qs(req.query).items()}
         match req.method, req.path:
             case "POST", "/api/rows-tx":
                 await self._answer_transaction(req, res)
             case "GET", "/api/rows-get":
-                await self._answer_range(res, asked, visible)
+                await self._answer_range(res, query, visible)
             case "GET", "/api/rows-feed":
-                await self._answer_feed(res, asked)
+                await self._answer_feed(res, query)
             case method, path if path.startswith(OBJECT_PATHS):
                 await self._answer_object(req, res, method)
             case _:
                 await res.send(404)
 
     async def _answer_range(
-        self, res: Responder, asked: dict[str, str], visible: RowTable
+        self, res: Responder, query: dict[str, str], visible: RowTable
     ) -> None:
-        limit = min(int(asked.get("limit", MAX_ROWS)), MAX_ROWS)
+        limit = min(int(query.get("limit", MAX_ROWS)), MAX_ROWS)
         rows = visible.find(
-            asked.get("table", ""), asked.get("from", ""), asked.get("to"), limit
+            query.get("table", ""), query.get("from", ""), query.get("to"), limit
         )
         answer = self._page(rows[:limit], visible.version)
         await res.send_json(200, {**answer, "has-more": len(rows) > limit})
 
-    async def _answer_feed(self, res: Responder, asked: dict[str, str]) -> None:
-        table, after = asked["table"], int(asked["after"])
+    async def _answer_feed(self, res: Responder, query: dict[str, str]) -> None:
+        table, after = query["table"], int(query["after"])
         if self.faults.has_forgotten:
             self.faults.has_forgotten = False
             await res.send(410)
             return
-        until = asyncio.get_running_loop().time() + int(asked["wait-ms"]) / 1_000
-        while not self.rows.since(table, after):
+        deadline = asyncio.get_running_loop().time() + int(query["wait-ms"]) / 1_000
+        while not self.rows.changed_since(table, after):
             try:
-                async with asyncio.timeout_at(until):
+                async with asyncio.timeout_at(deadline):
                     await self._changed.wait()
             except TimeoutError:
                 break
-        rows = self.rows.since(table, after)
+        rows = self.rows.changed_since(table, after)
         await res.send_json(200, self._page(rows, self.rows.version))
 
     async def _answer_transaction(self, req: Request, res: Responder) -> None:
         try:
             entries = msgspec.json.decode(req.body)
-            expected = {_place(row): row["ver"] for row in entries["expected-revision"]}
-            writes = {_place(row): row["value"] for row in entries["writes"]}
-            removed = [_place(row) for row in entries["remove"]]
+            expected = {
+                _row_id(row): row["ver"] for row in entries["expected-revision"]
+            }
+            writes = {_row_id(row): row["value"] for row in entries["writes"]}
+            removed = [_row_id(row) for row in entries["remove"]]
         except (msgspec.DecodeError, KeyError, TypeError):
             await res.send(400)
             return
-        in_the_way = self.rows.commit(expected, writes, removed)
-        if in_the_way:
-            await res.send_json(412, self._page(in_the_way, self.rows.version))
+        expected_rows = self.rows.commit(expected, writes, removed)
+        if expected_rows:
+            await res.send_json(412, self._page(expected_rows, self.rows.version))
             return
-        self._tell()
+        self._notify()
         await res.send_json(200, {"ver": self.rows.version, "now-ms": 0})
 
     async def _answer_object(self, req: Request, res: Responder, method: str) -> None:
@@ -161,14 +164,14 @@
 
     @staticmethod
     def _page(rows: list[StoredRow], version: int) -> dict[str, object]:
-        return {"rows": [_on_wire(row) for row in rows], "ver": version, "now-ms": 0}
+        return {"rows": [_to_wire(row) for row in rows], "ver": version, "now-ms": 0}
 
 
-def _place(row: dict[str, Any]) -> Place:
+def _row_id(row: dict[str, Any]) -> RowId:
     return row["table"], row["key"]
 
 
-def _on_wire(row: StoredRow) -> dict[str, object]:
+def _to_wire(row: StoredRow) -> dict[str, object]:
     raw: dict[str, object] = {
         "table": row.table,
         "part": "",
--- a/standins/service.py
+++ b/standins/service.py
@@ -1,14 +1,14 @@
 """A stand-in for one endpoint of a plain service, with a ledger of what it ran.
 
-Beside the routes of ``docs/DESIGN.md`` it has ``PUT /state`` with ``{"leaving_at": t}``
-or ``{"leaving_at": null}``. Each result tells the number of the run in the ledger.
-Faults of its own (``path`` may narrow them to an operation):
+Besides the routes of ``docs/DESIGN.md`` it has ``PUT /state`` with
+``{"leaving_at": t}`` or ``{"leaving_at": null}``. Each result contains the number of
+the run in the ledger. Faults of its own (``path`` may restrict them to an operation):
 
 ``refuse_work``
     Refuses calls as not run, with ``retry_after``.
 ``forget_ledger``
-    Nothing; a call under it runs without its entry, to prove that a check of the
-    ledger would notice.
+    Runs calls without an entry in the ledger, to prove that a check of the ledger
+    notices a missing one.
 """
 
 from __future__ import annotations
@@ -43,11 +43,11 @@
     name : str
         Its name in the document.
     capacity : int
-        Calls it runs at one time; more wait, and past twice that are refused.
+        Calls that run at one time; as many more may wait, and the rest are refused.
     run_seconds : float
         How long a call takes.
     clock : Clock
-        Whose wall time holds.
+        Source of the wall time.
     """
 
     def __init__(
@@ -107,14 +107,15 @@
         async with self._slots:
             self._n_waiting -= 1
             self._n_running += 1
-            # The entry is made before the run ends: a call cut in its middle has run.
-            number = self._note_run(req, operation, value)
+            # The entry is made before the run ends: a call that is cut while it runs
+            # counts as run.
+            number = self._record_run(req, operation, value)
             await asyncio.sleep(self._run_seconds)
             self._n_running -= 1
         return number
 
     def _refusal(self, req: Request) -> str | None:
-        """Return why a call is refused before anything of it runs, or None."""
+        """Return why a call is refused without being run, or None."""
         if self.faults.find("refuse_work", req.path) is not None:
             return "refused"
         if self._n_waiting >= self._capacity:
@@ -124,7 +125,7 @@
             return "deadline"
         return None
 
-    def _note_run(self, req: Request, operation: str, value: object) -> int:
+    def _record_run(self, req: Request, operation: str, value: object) -> int:
         if self.faults.find("forget_ledger", req.path) is None:
             self.runs.append(
                 {
@@ -164,13 +165,15 @@
 
 
 def main(
-    listen: Annotated[str, typer.Option(help="IP:PORT; port 0 takes a free one.")],
+    listen: Annotated[str, typer.Option(help="IP:PORT; port 0 selects a free port.")],
     name: Annotated[str, typer.Option(help="The endpoint's name in the document.")],
-    capacity: Annotated[int, typer.Option(help="Calls run at one time.")] = 16,
-    run_seconds: Annotated[float, typer.Option(help="Seconds a call takes.")] = 0.0,
-    log: Annotated[str, typer.Option(help="File for log lines; none without.")] = "",
+    capacity: Annotated[int, typer.Option(help="Calls that run at one time.")] = 16,
+    run_seconds: Annotated[
+        float, typer.Option(help="Duration of a call in seconds.")
+    ] = 0.0,
+    log: Annotated[str, typer.Option(help="Log file; no log without it.")] = "",
 ) -> None:
-    """Serve a stand-in for an endpoint of a plain service until it is stopped."""
+    """Run a stand-in for an endpoint of a plain service until it is stopped."""
     if log:
         start_logging(name, log)
     asyncio.run(_serve(name, capacity, run_seconds, parse_listen(listen)))
--- a/standins/worker.py
+++ b/standins/worker.py
@@ -1,7 +1,7 @@
-"""Stand-ins for the platform's workers, by their published protocol.
+"""Stand-ins for the platform's workers, which serve their published protocol.
 
-A plain worker answers whole; an engine answers by a stream of events, moves its runs
-to other engines, and keeps copies of runs as they grow.
+A plain worker sends whole answers. An engine streams events, moves its runs to other
+engines, and holds backups that grow with their runs.
 """
 
 from __future__ import annotations
@@ -21,13 +21,13 @@
 from celerytrail.platform import storewire
 from celerytrail.types import Address
 
-SEAL = "x-response-seal"
+SEAL_HEADER = "x-response-seal"
 
 
 def worker_row(
     service: str, address: Address, state: str = "ready", **more: object
 ) -> dict[str, object]:
-    """Return what a worker writes of itself into the store."""
+    """Return the row by which a worker registers in the store."""
     return {
         "service": service,
         "address": str(address),
@@ -50,14 +50,14 @@
         storewire.REGISTRATION_TABLE,
         writes={key: msgspec.json.encode(row) for key, row in rows.items()},
     )
-    made = await client.request(store, "POST", storewire.TRANSACT_PATH, body=body)
-    if isinstance(made, Err) or made.ok_value.status != 200:
-        raise RuntimeError(f"the store at {store} took no rows: {made}")
+    sent = await client.request(store, "POST", storewire.TRANSACT_PATH, body=body)
+    if isinstance(sent, Err) or sent.ok_value.status != 200:
+        raise RuntimeError(f"writing rows to the store at {store} failed: {sent}")
 
 
 @dataclass(kw_only=True)
 class WorkerFaults:
-    """What a worker does wrong with the next requests."""
+    """Faults that a worker shows on the next requests."""
 
     refuses: bool = False
     is_mute: bool = False
@@ -70,28 +70,28 @@
 
 
 @dataclass(frozen=True, kw_only=True)
-class Seen:
-    """A request as it reached a worker."""
+class ReceivedRequest:
+    """A request as a worker received it."""
 
     attempt_id: str
     req: Request
 
 
 class Worker(Handler, abc.ABC):
-    """What both kinds have in common.
+    """The part of the protocol that both kinds of workers share.
 
     Parameters
     ----------
     worker_id : str
-        Its id; a request that means another one is refused.
+        Its id; a request for another worker is refused.
     network : Network or None
-        What carries its connections; the machine's own by default.
+        Carries its connections; the machine's network by default.
     """
 
     def __init__(self, *, worker_id: str, network: Network | None = None) -> None:
         self.worker_id = worker_id
         self.faults = WorkerFaults()
-        self.seen: list[Seen] = []
+        self.seen: list[ReceivedRequest] = []
         self.ran: list[str] = []
         self.address = Address(host="127.0.0.1", port=1)
         self._server = HttpServer(handler=self, network=network)
@@ -102,11 +102,11 @@
         return self.address
 
     async def close(self) -> None:
-        """Die: all connections are cut."""
+        """Stop as in a crash: all connections are cut."""
         await self._server.close()
 
     def row(self, service: str, state: str = "ready", **more: object) -> object:
-        """Return what it writes of itself into the store."""
+        """Return the row by which it registers in the store."""
         return worker_row(service, self.address, state, **more)
 
     async def handle(self, req: Request, res: Responder) -> None:
@@ -114,9 +114,9 @@
         if await self._answer_other(req, res):
             return
         attempt_id = req.headers.get("x-attempt-id", "")
-        self.seen.append(Seen(attempt_id=attempt_id, req=req))
-        meant = req.headers.get("x-target-instance", self.worker_id)
-        if meant != self.worker_id:
+        self.seen.append(ReceivedRequest(attempt_id=attempt_id, req=req))
+        target_id = req.headers.get("x-target-instance", self.worker_id)
+        if target_id != self.worker_id:
             await res.send(421, headers=self._headers(attempt_id))
         elif self.faults.refuses:
             headers = {**self._headers(attempt_id), "x-not-executed": "1"}
@@ -128,7 +128,7 @@
             await self._run(req, res, attempt_id)
 
     async def _answer_other(self, req: Request, res: Responder) -> bool:
-        """Answer calls that are no request of a caller's."""
+        """Answer a call of the protocol that isn't a caller's request, if it is one."""
         return False
 
     @abc.abstractmethod
@@ -139,7 +139,7 @@
         echoed = "another" if self.faults.echoes_other_id else attempt_id
         headers = {"x-attempt-id": echoed, "x-worker-id": self.worker_id}
         if not self.faults.is_unsealed:
-            headers[SEAL] = f"seal of {self.worker_id}"
+            headers[SEAL_HEADER] = f"seal of {self.worker_id}"
         return headers
 
 
@@ -161,11 +161,11 @@
             return
         await res.send(faults.status, body, headers)
         if faults.has_extra:
-            await _send_raw(res, b"HTTP/1.1 200 OK\r\ncontent-length: 5\r\n\r\nextra")
+            await _write_raw(res, b"HTTP/1.1 200 OK\r\ncontent-length: 5\r\n\r\nextra")
 
 
-async def _send_raw(res: Responder, data: bytes) -> None:
-    """Write bytes that belong to no answer."""
+async def _write_raw(res: Responder, data: bytes) -> None:
+    """Write bytes to the connection that belong to no answer."""
     transport = res._conn.transport
     assert transport is not None
     transport.write(data)
@@ -173,6 +173,8 @@
 
 @dataclass(kw_only=True)
 class _Run:
+    """A run of an `EngineWorker` and the number of events it has sent."""
+
     attempt_id: str
     n_events: int
     copies: dict[str, Address] = field(default_factory=dict)
@@ -180,36 +182,36 @@
 
 
 class EngineWorker(Worker):
-    """Streams numbered events, one each time `tick` is called.
+    """Streams numbered events, one for each tick (see `tick`).
 
     Parameters
     ----------
     worker_id : str
         Its id.
     n_events : int
-        How long each answer is.
+        Events in each answer.
     """
 
     def __init__(self, *, worker_id: str, n_events: int = 6) -> None:
         super().__init__(worker_id=worker_id)
         self.n_events = n_events
-        self.held: dict[str, int] = {}
+        self.held_copies: dict[str, int] = {}
         self.backups: dict[str, int] = {}
-        self.freed: list[str] = []
+        self.freed_handles: list[str] = []
         self.refuses_moves = False
         self.leaves_ms: float | None = None
         self._runs: dict[str, _Run] = {}
-        self._others: dict[str, EngineWorker] = {}
+        self._peers: dict[str, EngineWorker] = {}
         self._ticks = asyncio.Condition()
         self._n_ticks = 0
 
-    def knows(self, *others: EngineWorker) -> None:
-        """Let it copy runs to other engines."""
-        for other in others:
-            self._others[str(other.address)] = other
+    def knows(self, *peers: EngineWorker) -> None:
+        """Add engines to which it can copy runs."""
+        for peer in peers:
+            self._peers[str(peer.address)] = peer
 
     async def tick(self, n: int = 1) -> None:
-        """Let each run make so many more events."""
+        """Let each run send ``n`` more events."""
         for _ in range(n):
             async with self._ticks:
                 self._n_ticks += 1
@@ -218,7 +220,7 @@
 
     @property
     def running(self) -> list[str]:
-        """Return the attempts that it works on."""
+        """Return the ids of the attempts that it runs."""
         return list(self._runs)
 
     async def _answer_other(self, req: Request, res: Responder) -> bool:
@@ -232,7 +234,7 @@
             await self._move(req, res)
             return True
         if req.path.startswith("/api/kv-handle/"):
-            self.freed.append(req.path.rpartition("/")[2])
+            self.freed_handles.append(req.path.rpartition("/")[2])
             await res.send(200)
             return True
         return False
@@ -246,31 +248,31 @@
         if self.refuses_moves:
             await res.send(503)
             return
-        target = self._others[order["to"]]
+        target = self._peers[order["to"]]
         handle = f"copy-{run.attempt_id}"
-        target.held[f"{self.address}/{handle}"] = run.n_events
+        target.held_copies[f"{self.address}/{handle}"] = run.n_events
         run.is_stopped = run.is_stopped or order["last"]
         await res.send_json(200, {"handle": handle, "created": run.n_events})
         if order["last"]:
             await self.tick()
 
     async def _run(self, req: Request, res: Responder, attempt_id: str) -> None:
-        first = 0
+        first_event = 0
         name = req.headers.get("kv-from")
         if name is not None:
-            known = self.held.pop(name, None)
-            if known is None:
-                known = self.backups.pop(attempt_id, None)
-            if known is None:
+            n_copied = self.held_copies.pop(name, None)
+            if n_copied is None:
+                n_copied = self.backups.pop(attempt_id, None)
+            if n_copied is None:
                 headers = {**self._headers(attempt_id), "x-not-executed": "1"}
                 await res.send(503, headers=headers)
                 return
         if "last-event-id" in req.headers:
-            first = int(req.headers["last-event-id"]) + 1
+            first_event = int(req.headers["last-event-id"]) + 1
         self.ran.append(attempt_id)
-        run = _Run(attempt_id=attempt_id, n_events=first)
+        run = _Run(attempt_id=attempt_id, n_events=first_event)
         self._runs[attempt_id] = run
-        backup = self._others.get(req.headers.get("x-kv-backup", ""))
+        backup = self._peers.get(req.headers.get("x-kv-backup", ""))
         try:
             await self._stream(res, run, backup)
         finally:
@@ -313,6 +315,6 @@
 
 
 def unframed_answer(attempt_id: str, body: bytes) -> bytes:
-    """Return an answer that has no length and ends with its connection."""
-    head = f"HTTP/1.1 200 OK\r\nx-attempt-id: {attempt_id}\r\n{SEAL}: s\r\n\r\n"
+    """Return an answer without a length, which ends when its connection closes."""
+    head = f"HTTP/1.1 200 OK\r\nx-attempt-id: {attempt_id}\r\n{SEAL_HEADER}: s\r\n\r\n"
     return head.encode("ascii") + body
--- a/tests/test_engine_model.py
+++ b/tests/test_engine_model.py
@@ -1,4 +1,4 @@
-"""The model of an engine that the project's own bench and tests drive."""
+"""Tests of the engine model behind the stand-in worker of the tests and benches."""
 
 from standins.enginemodel import EngineModel, EngineSpec, Job, Link
 
@@ -7,100 +7,102 @@
 )
 
 
-def job(name: str, n_prompt: int = 100, n_output: int = 10, **more) -> Job:
+def new_job(name: str, n_prompt: int = 100, n_output: int = 10, **more) -> Job:
     return Job(attempt_id=name, n_prompt=n_prompt, n_output=n_output, **more)
 
 
-def run_to_end(model: EngineModel, n_most: int = 1_000) -> list[str]:
-    """Step until nothing is left; returns who ended, in order."""
-    ended = []
-    for _ in range(n_most):
+def run_to_end(model: EngineModel, n_max_steps: int = 1_000) -> list[str]:
+    """Step until the engine is idle; returns the finished attempts, in order."""
+    finished = []
+    for _ in range(n_max_steps):
         if model.is_idle:
-            return ended
-        ended += [done.attempt_id for done in model.step().made if done.is_done]
-    raise AssertionError("never ends")
+            return finished
+        finished += [job.attempt_id for job in model.step().decoded if job.is_done]
+    raise AssertionError("the engine never becomes idle")
 
 
-class TestReading:
-    def test_a_prompt_is_read_in_chunks_before_the_first_token(self):
+class TestPrefill:
+    def test_prompt_is_read_in_chunks_before_the_first_token(self):
         model = EngineModel(spec=SPEC)
-        model.submit(job("a", n_prompt=250))
-        n_made = [len(model.step().made) for _ in range(4)]
-        assert n_made == [0, 0, 0, 1]
+        model.submit(new_job("a", n_prompt=250))
+        n_decoded = [len(model.step().decoded) for _ in range(4)]
+        assert n_decoded == [0, 0, 0, 1]
 
-    def test_a_step_that_reads_takes_longer_for_all(self):
+    def test_prefill_lengthens_the_step_of_the_batch(self):
         model = EngineModel(spec=SPEC)
-        model.submit(job("a", n_prompt=100, n_output=50))
+        model.submit(new_job("a", n_prompt=100, n_output=50))
         model.step()
-        plain = model.step().seconds
-        model.submit(job("b", n_prompt=300))
-        reading = model.step()
-        assert [one.attempt_id for one in reading.made] == ["a"]
-        assert reading.seconds > plain + 100 / SPEC.read_rate - 1e-9
-
-    def test_kept_parts_are_not_read_again_unless_one_before_them_is_missing(self):
+        decode_seconds = model.step().seconds
+        model.submit(new_job("b", n_prompt=300))
+        step = model.step()
+        assert [job.attempt_id for job in step.decoded] == ["a"]
+        assert step.seconds > (
+            decode_seconds + 100 / SPEC.prefill_tokens_per_second - 1e-9
+        )
+
+    def test_cached_parts_are_read_again_only_after_a_missing_one(self):
         model = EngineModel(spec=SPEC)
         parts = (("1", 60), ("2", 40))
-        model.submit(job("a", parts=parts))
+        model.submit(new_job("a", parts=parts))
         run_to_end(model)
         n_read = model.totals.n_read
-        model.submit(job("b", parts=parts))
+        model.submit(new_job("b", parts=parts))
         run_to_end(model)
         assert model.totals.n_read - n_read == 1
-        model.submit(job("c", parts=(("3", 60), ("2", 40))))
+        model.submit(new_job("c", parts=(("3", 60), ("2", 40))))
         run_to_end(model)
         assert model.totals.n_read - n_read == 101
 
 
 class TestMemory:
-    def test_the_newest_of_the_least_urgent_is_preempted_and_loses_no_token(self):
+    def test_newest_of_the_least_urgent_is_preempted_without_token_loss(self):
         model = EngineModel(spec=SPEC)
         for name, priority in (("old", 5), ("new", 5), ("urgent", 1)):
-            model.submit(job(name, n_prompt=250, n_output=100, priority=priority))
-        ended = run_to_end(model)
-        assert sorted(ended) == ["new", "old", "urgent"]
-        assert ended[-1] == "new"
+            model.submit(new_job(name, n_prompt=250, n_output=100, priority=priority))
+        finished = run_to_end(model)
+        assert sorted(finished) == ["new", "old", "urgent"]
+        assert finished[-1] == "new"
         assert model.totals.n_preempted >= 1
 
-    def test_a_copy_takes_memory_and_a_slot(self):
+    def test_copy_takes_memory(self):
         model = EngineModel(spec=SPEC)
         model.copies["x"] = 700
-        assert not model.has_room_for(400)
-        assert model.has_room_for(300)
+        assert not model.can_hold_copy(400)
+        assert model.can_hold_copy(300)
 
-    def test_what_never_fits_is_refused(self):
-        assert not EngineModel(spec=SPEC).submit(job("a", n_prompt=995))
+    def test_request_that_can_never_fit_is_refused(self):
+        assert not EngineModel(spec=SPEC).submit(new_job("a", n_prompt=995))
 
-    def test_one_that_goes_on_from_a_copy_is_let_in_first(self):
+    def test_request_from_a_copy_is_admitted_first(self):
         model = EngineModel(spec=SPEC)
         for number in range(4):
-            model.submit(job(f"r{number}", n_output=20))
-        model.submit(job("late", n_output=20, priority=0))
-        model.submit(job("moved", n_output=20, is_copy=True))
-        ended = run_to_end(model)
-        assert ended.index("moved") < ended.index("r0")
+            model.submit(new_job(f"r{number}", n_output=20))
+        model.submit(new_job("late", n_output=20, priority=0))
+        model.submit(new_job("moved", n_output=20, is_from_copy=True))
+        finished = run_to_end(model)
+        assert finished.index("moved") < finished.index("r0")
 
-    def test_what_a_copy_lacks_is_read_before_whole_prompts(self):
+    def test_tokens_that_a_copy_lacks_are_read_before_prompts(self):
         model = EngineModel(spec=SPEC)
-        model.submit(job("prompt", n_prompt=400, n_output=5))
+        model.submit(new_job("prompt", n_prompt=400, n_output=5))
         model.step()
-        model.submit(job("moved", n_unread=30, is_copy=True))
+        model.submit(new_job("moved", n_prefill=30, is_from_copy=True))
         model.step()
-        assert [one.attempt_id for one in model.step().made] == ["moved"]
+        assert [job.attempt_id for job in model.step().decoded] == ["moved"]
 
-    def test_a_run_moved_after_its_last_token_makes_no_more(self):
-        # A run is moved as it ends: all its tokens are made, only its end was not sent.
-        # A token more at the other engine would reach its caller as a wrong answer.
+    def test_run_moved_after_its_last_token_generates_no_more(self):
+        # A run can be moved when all its tokens are generated but its end isn't sent.
+        # A further token from the other engine would make the caller's answer wrong.
         model = EngineModel(spec=SPEC)
-        model.submit(job("a", n_output=10, n_made=10, is_copy=True))
-        made = model.step().made
-        assert [(one.n_made, one.is_done) for one in made] == [(10, True)]
+        model.submit(new_job("a", n_output=10, n_generated=10, is_from_copy=True))
+        decoded = model.step().decoded
+        assert [(job.n_generated, job.is_done) for job in decoded] == [(10, True)]
         assert model.is_idle
 
 
 class TestLink:
-    def test_copies_queue_on_both_links(self):
-        one, two, three = Link(), Link(), Link()
-        assert Link.take(one, two, 1.0, 0.5, now=10.0) == 10.5
-        assert Link.take(three, two, 1.0, 0.5, now=10.0) == 11.0
-        assert Link.take(one, three, 1.0, 0.5, now=10.0) == 11.5
+    def test_copies_queue_on_the_links_of_both_engines(self):
+        first, second, third = Link(), Link(), Link()
+        assert Link.book(first, second, 1.0, 0.5, now=10.0) == 10.5
+        assert Link.book(third, second, 1.0, 0.5, now=10.0) == 11.0
+        assert Link.book(first, third, 1.0, 0.5, now=10.0) == 11.5
--- a/tests/test_faults.py
+++ b/tests/test_faults.py
@@ -1,4 +1,4 @@
-"""The fault switches of the stand-ins: each does what its name says."""
+"""Tests of the faults that can be switched on in the stand-ins."""
 
 from __future__ import annotations
 
@@ -15,13 +15,13 @@
 LOOPBACK = Address(host="127.0.0.1", port=0)
 
 
-async def repeat(ask, is_wanted):
+async def repeat_until(ask, is_wanted):
     for _ in range(1000):
         answer = await ask()
         if is_wanted(answer):
             return answer
         await asyncio.sleep(0.01)
-    raise AssertionError(f"never came: last was {answer}")
+    raise AssertionError(f"no wanted answer; the last was {answer}")
 
 
 class CountingHandler(Handler):
@@ -68,25 +68,25 @@
         await put()
         assert (await ask()).ok_value.status == 200
 
-    async def test_lost_reply_has_its_effect(self, standin):
+    async def test_lose_reply_has_its_effect(self, standin):
         handler, ask, put = standin
         await put(name="lose_reply", n=1)
         assert isinstance((await ask()).err_value, RequestLost)
         assert handler.n_effects == 1
         assert (await ask()).ok_value.body == b"whole"
 
-    async def test_stall_says_nothing_and_does_nothing(self, standin):
+    async def test_stall_gives_no_answer_and_has_no_effect(self, standin):
         handler, ask, put = standin
         await put(name="stall", n=1)
         assert (await ask()).err_value.reason == "timeout"
         assert handler.n_effects == 0
 
-    async def test_stall_after_some_pieces(self, standin):
+    async def test_stall_after_two_pieces_of_a_stream(self, standin):
         _, ask, put = standin
         await put(name="stall", after_writes=2)
         assert (await ask("/stream")).err_value.reason == "stalled"
 
-    async def test_freeze_lets_the_effect_happen_late(self, standin):
+    async def test_freeze_delays_the_effect(self, standin):
         handler, ask, put = standin
         await put(name="freeze")
         assert isinstance((await ask()).err_value, RequestLost)
@@ -95,14 +95,16 @@
         await ask()
         assert handler.n_effects == 2
 
-    async def test_refuse_closes_the_listener_for_a_while(self, standin):
+    async def test_refuse_closes_the_listener_until_its_end(self, standin):
         handler, ask, put = standin
         await put(name="refuse", until_at=time.time() + 0.2)
-        refused = await repeat(ask, lambda answer: isinstance(answer.err(), NotSent))
+        refused = await repeat_until(
+            ask, lambda answer: isinstance(answer.err(), NotSent)
+        )
         assert refused.err_value.reason == "connect_refused"
-        answer = await repeat(ask, lambda answer: answer.is_ok())
+        answer = await repeat_until(ask, lambda answer: answer.is_ok())
         assert answer.ok_value.status == 200
 
-    async def test_unknown_fault_is_refused_with_its_place(self, standin):
+    async def test_unknown_fault_is_rejected(self, standin):
         _, _, put = standin
         assert await put(name="earthquake") == 400
