--- a/standins/enginemodel.py
+++ b/standins/enginemodel.py
@@ -146,7 +146,7 @@
 
     @property
     def n_used(self) -> int:
-        """Return the memory of runs and copies, in tokens; the cache isn't counted."""
+        """Return the memory that can't be evicted, in tokens: runs and copies."""
         return sum(job.n_tokens for job in self.running) + sum(self.copies.values())
 
     @property
