--- a/bench/configspread.py
+++ b/bench/configspread.py
@@ -33,7 +33,7 @@
 from celerytrail.platform.objects import ObjectStore
 from celerytrail.platform.table import Row, Rows, Table, Transaction, TransactResult
 from celerytrail.types import Address
-from scenarios.memorynetwork import Wires
+from scenarios.memorynetwork import MemoryFabric
 
 N_NODES = 330
 N_VERSIONS = 5
@@ -123,7 +123,7 @@
     def __init__(self, *, is_gossiping: bool) -> None:
         self._is_gossiping = is_gossiping
         self._rng = random.Random(1)
-        self._wires = Wires(rng=random.Random(2))
+        self._wires = MemoryFabric(rng=random.Random(2))
         self._clock = LoopClock()
         self.platform = CountingPlatform()
         self._addresses = [
@@ -143,7 +143,7 @@
 
     async def _start_node(self, number: int) -> None:
         address = self._addresses[number]
-        network = self._wires.process(str(address))
+        network = self._wires.network_of(str(address))
         configuration = Configuration()
         rng = random.Random(1000 + number)
         metrics = Metrics(process=str(number))
--- a/bench/fleet.py
+++ b/bench/fleet.py
@@ -20,7 +20,7 @@
 from celerytrail.policies.placing import PlacementPolicy
 from celerytrail.relay.node import RelayNode
 from celerytrail.types import Address
-from scenarios.memorynetwork import Wires
+from scenarios.memorynetwork import MemoryFabric
 from scenarios.virtualtime import close_loop, new_loop
 from standins.enginemodel import EngineSpec
 from standins.modelworker import ModelWorker
@@ -144,8 +144,10 @@
         self._variation = variation
         self._rng = random.Random(seed)
         self._seed = seed
-        self._network = Wires(rng=random.Random(seed), delay=DELAY_SECONDS)
-        self._store = RowStore(network=self._network.process("store"))
+        self._network = MemoryFabric(
+            rng=random.Random(seed), delay_seconds=DELAY_SECONDS
+        )
+        self._store = RowStore(network=self._network.network_of("store"))
         self._engines: dict[str, ModelWorker] = {}
         self._reclaimed: list[ModelWorker] = []
         self._nodes: list[RelayNode] = []
@@ -166,7 +168,7 @@
         if not all(node.is_ready for node in self._nodes):
             raise RuntimeError("not all nodes are ready")
         faults = [asyncio.ensure_future(self._reclaim_engines())]
-        self._network.dropped_share = self._variation.dropped_share
+        self._network.datagram_loss_rate = self._variation.dropped_share
         if self._variation.frozen is not None:
             faults.append(asyncio.ensure_future(self._freeze_node()))
         drawn = draw_arrivals(self._load, self._spec.n_event_tokens, self._seed)
@@ -202,7 +204,7 @@
     def _collect_totals(self) -> None:
         n_starts_by_attempt: Counter[str] = Counter()
         for engine in (*self._engines.values(), *self._reclaimed):
-            n_starts_by_attempt.update(engine.begun)
+            n_starts_by_attempt.update(engine.prefilled_ids)
             totals = engine.model.totals
             self.result.n_read += totals.n_read
             self.result.n_read_again += totals.n_read_again
@@ -266,8 +268,8 @@
             worker_id=name,
             failure_domain=zone,
             spec=spec,
-            find=self._find_engine,
-            network=self._network.process(name),
+            find_engine=self._find_engine,
+            network=self._network.network_of(name),
         )
         await engine.start()
         self._engines[name] = engine
@@ -303,7 +305,7 @@
         )
         node = RelayNode(
             cfg=cfg,
-            network=self._network.process(name),
+            network=self._network.network_of(name),
             rng=random.Random(f"{self._seed}:{name}"),
             clock=LoopClock(),
             placing=self._variation.placing,
@@ -320,7 +322,7 @@
         assert node.cfg.callers is not None
         caller = Caller(
             arrival=arrival,
-            network=self._network.process("callers"),
+            network=self._network.network_of("callers"),
             host=HOST,
             key=KEY,
         )
@@ -332,7 +334,7 @@
         while engines.reclaim_every > 0:
             await asyncio.sleep(engines.reclaim_every)
             ready = [
-                engine for engine in self._engines.values() if engine.leaves_at is None
+                engine for engine in self._engines.values() if engine.leaving_at is None
             ]
             asyncio.ensure_future(self._reclaim_engine(self._rng.choice(ready)))
 
@@ -348,7 +350,7 @@
     async def _reclaim_engine(self, engine: ModelWorker) -> None:
         engines = self._load.engines
         notice = self._rng.uniform(*engines.notice)
-        engine.leaves_at = asyncio.get_running_loop().time() + notice
+        engine.leaving_at = asyncio.get_running_loop().time() + notice
         if notice:
             self._write_engine_row(engine, "draining")
             await asyncio.sleep(notice)
--- a/chores/platformdemo.py
+++ b/chores/platformdemo.py
@@ -143,8 +143,8 @@
         engine = EngineWorker(worker_id=name, n_events=N_EVENTS)
         await engine.start()
         for other in self.engines:
-            other.knows(engine)
-            engine.knows(other)
+            other.add_peers(engine)
+            engine.add_peers(other)
         self.engines.append(engine)
         self.store.put("servers", name, engine.row("models"))
         return engine
--- a/scenarios/memorydriver.py
+++ b/scenarios/memorydriver.py
@@ -24,7 +24,7 @@
 
 from .callers import MODEL, SERVICE
 from .httpdriver import FAILURE_DOMAINS, HttpDriver
-from .memorynetwork import Wires
+from .memorynetwork import MemoryFabric
 
 SIGNING_KEY = SigningKey(key_id="k1", secret=bytes(range(32)))
 CALLER_PORT = 7100
@@ -59,9 +59,9 @@
     """
 
     def __init__(self, *, seed: int = 1) -> None:
-        self._fabric = Wires(rng=random.Random(seed))
+        self._fabric = MemoryFabric(rng=random.Random(seed))
         super().__init__(
-            network=self._fabric.process("callers"), clock=LoopClock(), seed=seed
+            network=self._fabric.network_of("callers"), clock=LoopClock(), seed=seed
         )
         self._processes: dict[str, _Process] = {}
 
@@ -118,7 +118,7 @@
 
     async def drop_datagrams(self, share: float) -> None:
         """Drop a share, from 0 to 1, of the nodes' datagrams."""
-        self._fabric.dropped_share = share
+        self._fabric.datagram_loss_rate = share
 
     async def shift_clock(self, name: str, seconds: float) -> None:
         """Shift a node's wall clock by ``seconds``."""
@@ -186,7 +186,7 @@
             cfg=cfg,
             clock=process.clock,
             rng=random.Random(self._rng.getrandbits(32)),
-            network=self._fabric.process(name),
+            network=self._fabric.network_of(name),
         )
         await process.node.start()
         self._processes[name] = process
@@ -194,7 +194,7 @@
     async def _start_standin(self, name: str, kind: str, host: str) -> None:
         address = Address(host=host, port=STANDIN_PORT)
         process = _Process(address=address)
-        network = self._fabric.process(name)
+        network = self._fabric.network_of(name)
         if kind == "engine":
             batch = Batch(
                 engine=name,
--- a/scenarios/memorynetwork.py
+++ b/scenarios/memorynetwork.py
@@ -22,21 +22,21 @@
 FIRST_FREE_PORT = 40_000
 
 
-class Wires:
+class MemoryFabric:
     """Connects the processes of one scenario: links, sockets and their faults.
 
     Parameters
     ----------
     rng : random.Random
         Decides which datagrams are dropped.
-    delay : float
+    delay_seconds : float
         Latency in seconds from sender to receiver.
     """
 
-    def __init__(self, *, rng: random.Random, delay: float = 0.001) -> None:
+    def __init__(self, *, rng: random.Random, delay_seconds: float = 0.001) -> None:
         self.rng = rng
-        self.delay = delay
-        self.dropped_share = 0.0
+        self.delay_seconds = delay_seconds
+        self.datagram_loss_rate = 0.0
         self.listeners: dict[Address, MemoryListener] = {}
         self.datagrams: dict[Address, MemoryDatagrams] = {}
         self._cut: set[tuple[str, str]] = set()
@@ -47,7 +47,7 @@
         self._streams: list[MemoryStream] = []
         self._ports = itertools.count(FIRST_FREE_PORT)
 
-    def process(self, name: str) -> MemoryNetwork:
+    def network_of(self, name: str) -> MemoryNetwork:
         """Return the network interface of one process."""
         return MemoryNetwork(self, name)
 
@@ -92,7 +92,7 @@
         in_flight = self._in_flight[sender, receiver]
         in_flight.append(action)
         asyncio.get_running_loop().call_later(
-            self.delay,
+            self.delay_seconds,
             lambda: self._arrive(sender, receiver, in_flight.popleft()),
         )
 
@@ -103,7 +103,7 @@
         if (sender, receiver) in self._cut:
             self._held.append((sender, receiver, action))
         else:
-            asyncio.get_running_loop().call_later(2 * self.delay, action)
+            asyncio.get_running_loop().call_later(2 * self.delay_seconds, action)
 
     def is_held(self, sender: str, receiver: str) -> bool:
         """Return whether a cut or a freeze holds what one process sends to another."""
@@ -134,7 +134,7 @@
 class MemoryNetwork(Network):
     """The network interface of one process."""
 
-    def __init__(self, fabric: Wires, name: str) -> None:
+    def __init__(self, fabric: MemoryFabric, name: str) -> None:
         self._fabric = fabric
         self._name = name
 
@@ -154,7 +154,7 @@
         """Open a connection; this waits without limit while the link is cut."""
         listener = self._fabric.listeners.get(address)
         if listener is None:
-            await asyncio.sleep(self._fabric.delay)
+            await asyncio.sleep(self._fabric.delay_seconds)
             raise ConnectionRefusedError(f"nothing accepts at {address}")
         # The kernel of a frozen process still accepts connections; a cut link carries
         # nothing.
@@ -187,7 +187,7 @@
 
     def __init__(
         self,
-        fabric: Wires,
+        fabric: MemoryFabric,
         owner: str,
         factory: Callable[[], asyncio.Protocol],
         address: Address,
@@ -211,7 +211,7 @@
 class MemoryStream(asyncio.Transport):
     """One end of a connection, with the bytes that its protocol has not read."""
 
-    def __init__(self, fabric: Wires, owner: str, protocol: Any) -> None:
+    def __init__(self, fabric: MemoryFabric, owner: str, protocol: Any) -> None:
         super().__init__()
         self._fabric = fabric
         self._protocol = protocol
@@ -327,7 +327,7 @@
 
     def __init__(
         self,
-        fabric: Wires,
+        fabric: MemoryFabric,
         owner: str,
         protocol: asyncio.DatagramProtocol,
         address: Address,
@@ -347,7 +347,10 @@
     def sendto(self, data: Any, addr: Any = None) -> None:
         """Send a datagram; it is lost at random, and whenever the link is held."""
         target = self._fabric.datagrams.get(Address(host=addr[0], port=addr[1]))
-        if target is None or self._fabric.rng.random() < self._fabric.dropped_share:
+        if (
+            target is None
+            or self._fabric.rng.random() < self._fabric.datagram_loss_rate
+        ):
             return
         if self._fabric.is_held(self.owner, target.owner):
             return
--- a/standins/modelworker.py
+++ b/standins/modelworker.py
@@ -63,7 +63,7 @@
         Its id and its failure domain.
     spec : EngineSpec
         Its capacity and speed.
-    find : callable
+    find_engine : callable
         Returns the engine at an address, or None.
     network : Network
         Carries its connections.
@@ -75,18 +75,18 @@
         worker_id: str,
         failure_domain: str,
         spec: EngineSpec,
-        find: Callable[[str], ModelWorker | None],
+        find_engine: Callable[[str], ModelWorker | None],
         network: Network,
     ) -> None:
         super().__init__(worker_id=worker_id, network=network)
         self.failure_domain = failure_domain
         self.model = EngineModel(spec=spec)
         self.link = Link()
-        self.leaves_at: float | None = None
+        self.leaving_at: float | None = None
         self.is_closed = False
         # Attempts that started with a prefill, not from a copy.
-        self.begun: list[str] = []
-        self._find = find
+        self.prefilled_ids: list[str] = []
+        self._find_engine = find_engine
         self._streams: dict[str, _Stream] = {}
         self._copies: dict[str, _Copy] = {}
         self._reports: deque[tuple[float, dict[str, object]]] = deque(maxlen=20)
@@ -155,10 +155,10 @@
                 "in-flight": len(model.running),
                 "kv-used": model.n_used,
                 "kv-total": model.spec.n_memory_tokens,
-                "state": "ready" if self.leaves_at is None else "draining",
+                "state": "ready" if self.leaving_at is None else "draining",
             }
-            if self.leaves_at is not None:
-                seconds_left = max(0.0, self.leaves_at - loop.time())
+            if self.leaving_at is not None:
+                seconds_left = max(0.0, self.leaving_at - loop.time())
                 report["leaves_ms"] = round(seconds_left * 1_000)
             self._reports.append((loop.time(), report))
             await asyncio.sleep(REPORT_INTERVAL_SECONDS)
@@ -170,7 +170,7 @@
         while True:
             await asyncio.sleep(BACKUP_INTERVAL_SECONDS)
             for stream in list(self._streams.values()):
-                target = self._find(stream.backup) if stream.backup else None
+                target = self._find_engine(stream.backup) if stream.backup else None
                 if target is not None and stream.job.n_prefill == 0:
                     name = f"{target.address}/{stream.job.attempt_id}"
                     await self._copy(stream, target, name)
@@ -215,7 +215,7 @@
             return
         stream.is_moving = True
         handle = f"m{order['id']}"
-        target = self._find(order["to"])
+        target = self._find_engine(order["to"])
         job = stream.job
         if order["last"]:
             # The run stops at this engine, and its stream is cut before its end.
@@ -271,7 +271,7 @@
             return
         self.ran.append(attempt_id)
         if not job.is_from_copy:
-            self.begun.append(attempt_id)
+            self.prefilled_ids.append(attempt_id)
         stream = _Stream(job=job, backup=req.headers.get("x-kv-backup"))
         self._streams[attempt_id] = stream
         self._has_work.set()
--- a/standins/worker.py
+++ b/standins/worker.py
@@ -205,7 +205,7 @@
         self._ticks = asyncio.Condition()
         self._n_ticks = 0
 
-    def knows(self, *peers: EngineWorker) -> None:
+    def add_peers(self, *peers: EngineWorker) -> None:
         """Add engines to which it can copy runs."""
         for peer in peers:
             self._peers[str(peer.address)] = peer
--- a/tests/consolerig.py
+++ b/tests/consolerig.py
@@ -29,7 +29,7 @@
 )
 from celerytrail.operators.store import DocumentStore
 from celerytrail.types import Address
-from scenarios.memorynetwork import Wires
+from scenarios.memorynetwork import MemoryFabric
 
 ACCOUNTS = ",".join(
     make_account(name, "secret " + name, salt=b"12345678") for name in ("ana", "bia")
@@ -63,7 +63,7 @@
     """Runs a fake platform, a node stub, and consoles that can be replaced."""
 
     def __init__(self):
-        self.wires = Wires(rng=random.Random(1))
+        self.wires = MemoryFabric(rng=random.Random(1))
         self.clock = LoopClock()
         self.table, self.objects = FakeTable(), FakeObjects()
         self.node = NodeStub()
@@ -72,7 +72,7 @@
         self.accounts = ACCOUNTS
 
     async def start(self):
-        server = HttpServer(handler=self.node, network=self.wires.process("node"))
+        server = HttpServer(handler=self.node, network=self.wires.network_of("node"))
         await server.start(NODE)
         self.servers.append(server)
         await self.start_console()
@@ -80,7 +80,7 @@
     async def start_console(self):
         """Start a console that shares no state with earlier ones but the store."""
         self.n_consoles += 1
-        network = self.wires.process(f"console{self.n_consoles}")
+        network = self.wires.network_of(f"console{self.n_consoles}")
         self.address = Address(host=f"10.0.0.{self.n_consoles}", port=7200)
 
         async def addresses():
@@ -118,7 +118,7 @@
         )
 
     def browser(self):
-        network = self.wires.process("browser")
+        network = self.wires.network_of("browser")
         return Browser(HttpClient(network=network), self.address)
 
     async def login(self, name="ana"):
--- a/tests/homesrig.py
+++ b/tests/homesrig.py
@@ -26,7 +26,7 @@
 from celerytrail.policies.loadreports import EngineReport
 from celerytrail.policies.routing import PowerOfTwo
 from celerytrail.types import Address
-from scenarios.memorynetwork import Wires
+from scenarios.memorynetwork import MemoryFabric
 
 POOL = "llm/r/0"
 N_MEMORY_TOKENS = 8_000
@@ -113,7 +113,7 @@
         self.nodes = FakeNodes(me, rig.members)
         self.leaving = set()
         self.reported_leaving = []
-        self.network = rig.wires.process(me.node)
+        self.network = rig.wires.network_of(me.node)
         self.client = HttpClient(process=me.node, network=self.network)
         self.metrics = Metrics(process=me.node)
         rng = random.Random(me.node)
@@ -163,7 +163,7 @@
 
     def __init__(self):
         self.clock = LoopClock()
-        self.wires = Wires(rng=random.Random(1))
+        self.wires = MemoryFabric(rng=random.Random(1))
         self.engines = FakeEngines(self.clock)
         self.configuration = Configuration()
         document = Document(engines=(engine_spec(1), engine_spec(2)))
--- a/tests/relayrig.py
+++ b/tests/relayrig.py
@@ -109,8 +109,8 @@
         await engine.start()
         for other in self.workers:
             if isinstance(other, EngineWorker):
-                other.knows(engine)
-                engine.knows(other)
+                other.add_peers(engine)
+                engine.add_peers(other)
         self.workers.append(engine)
         self.store.put("servers", name, engine.row("models"))
         return engine
--- a/tests/sourcesrig.py
+++ b/tests/sourcesrig.py
@@ -19,7 +19,7 @@
 from celerytrail.relay.storeclient import make_rows
 from celerytrail.rowsource import RowSource, StoreUnavailable
 from celerytrail.types import Address
-from scenarios.memorynetwork import Wires
+from scenarios.memorynetwork import MemoryFabric
 from scenarios.virtualtime import close_loop, new_loop
 from standins.rowstore import RowStore
 from tests.relayrig import HOST, KEY, config, route
@@ -67,11 +67,13 @@
     """Nodes that share one store; each node's access to it can be refused."""
 
     def __init__(self, seed: int, n_nodes: int) -> None:
-        self.wires = Wires(rng=random.Random(seed))
-        self.store = RowStore(network=self.wires.process("store"))
+        self.wires = MemoryFabric(rng=random.Random(seed))
+        self.store = RowStore(network=self.wires.network_of("store"))
         self.nodes: list[RelayNode] = []
         self.gates: list[GatedStore] = []
-        self.client = HttpClient(network=self.wires.process("callers"), id_header=None)
+        self.client = HttpClient(
+            network=self.wires.network_of("callers"), id_header=None
+        )
         self.version = 1
         self._n_requests = 0
         self._seed = seed
@@ -102,7 +104,7 @@
     async def _add_node(self, number: int, store: Address) -> None:
         host = f"10.1.0.{number + 1}"
         name = f"vm-{number}"
-        network = self.wires.process(name)
+        network = self.wires.network_of(name)
         rng = random.Random(100 * self._seed + number)
         gate = GatedStore(
             store=make_rows(
--- a/tests/test_configsync.py
+++ b/tests/test_configsync.py
@@ -27,7 +27,7 @@
 from celerytrail.metrics import Metrics
 from celerytrail.operators.store import DocumentStore
 from celerytrail.types import Address
-from scenarios.memorynetwork import Wires
+from scenarios.memorynetwork import MemoryFabric
 
 pytestmark = pytest.mark.looptime
 
@@ -54,7 +54,7 @@
         self.cluster = cluster
         self.name = f"n{number}"
         self.address = Address(host=f"10.0.0.{number + 1}", port=7101)
-        network = cluster.wires.process(self.name)
+        network = cluster.wires.network_of(self.name)
         self.metrics = Metrics(process=self.name)
         self.configuration = Configuration()
         self.applied = []
@@ -113,7 +113,7 @@
     """A platform and nodes on a network in memory."""
 
     def __init__(self):
-        self.wires = Wires(rng=random.Random(1))
+        self.wires = MemoryFabric(rng=random.Random(1))
         self.clock = LoopClock()
         self.table = FakeTable()
         self.objects = FakeObjects()
--- a/tests/test_homes.py
+++ b/tests/test_homes.py
@@ -206,7 +206,7 @@
         await asyncio.sleep(3.0)
         assert rig.scheduler(rig.first).n_live == 1
         await rig.first.server.close()
-        rig.first.network = rig.wires.process(rig.first.name)
+        rig.first.network = rig.wires.network_of(rig.first.name)
         rig.first.server._network = rig.first.network
         await rig.first.server.start(rig.first.nodes.me.peer)
         await asyncio.sleep(2.0)
--- a/tests/test_memorynetwork.py
+++ b/tests/test_memorynetwork.py
@@ -11,7 +11,7 @@
 from celerytrail.http.client import HttpClient
 from celerytrail.http.server import Handler, HttpServer
 from celerytrail.types import Address
-from scenarios.memorynetwork import Wires
+from scenarios.memorynetwork import MemoryFabric
 
 SERVER = Address(host="10.0.0.1", port=80)
 
@@ -30,10 +30,10 @@
 
 @pytest.fixture
 async def pair():
-    fabric = Wires(rng=random.Random(1))
-    server = HttpServer(handler=RepeatingHandler(), network=fabric.process("server"))
+    fabric = MemoryFabric(rng=random.Random(1))
+    server = HttpServer(handler=RepeatingHandler(), network=fabric.network_of("server"))
     await server.start(SERVER)
-    client = HttpClient(network=fabric.process("client"))
+    client = HttpClient(network=fabric.network_of("client"))
     yield fabric, client
     client.close()
     await server.close()
--- a/tests/test_peer_limits.py
+++ b/tests/test_peer_limits.py
@@ -26,7 +26,7 @@
 from celerytrail.nodes.signing import PeerKeys
 from celerytrail.policies.grants import AdmitRequest, Admitter, Grant
 from celerytrail.types import Address, NotRun
-from scenarios.memorynetwork import Wires
+from scenarios.memorynetwork import MemoryFabric
 
 N_TOKENS_PER_SECOND = 900
 N_CONCURRENT = 12
@@ -57,7 +57,7 @@
 
     def __init__(self):
         self.clock = LoopClock()
-        self.wires = Wires(rng=random.Random(1))
+        self.wires = MemoryFabric(rng=random.Random(1))
         self.lost = set()
         organisation = OrganisationSpec(
             name="org",
@@ -78,7 +78,7 @@
         ]
         self.limits, self.servers, self.views = {}, {}, []
         for me in members:
-            network = self.wires.process(me.node)
+            network = self.wires.network_of(me.node)
             self.views.append(FakeNodes(me, members, self.lost))
             limits = LimitHomes(
                 nodes=self.views[-1],
--- a/tests/test_relay_suspended.py
+++ b/tests/test_relay_suspended.py
@@ -14,7 +14,7 @@
 from celerytrail.platform.nodesettings import RelaySettings
 from celerytrail.relay.node import RelayNode
 from celerytrail.types import Address
-from scenarios.memorynetwork import Wires
+from scenarios.memorynetwork import MemoryFabric
 from scenarios.virtualtime import close_loop, new_loop
 from standins.rowstore import RowStore
 from standins.worker import PlainWorker
@@ -28,11 +28,15 @@
     """A node, its store and one endpoint on a network that can be cut."""
 
     def __init__(self) -> None:
-        self.wires = Wires(rng=random.Random(1))
-        self.store = RowStore(network=self.wires.process("store"))
-        self.worker = PlainWorker(worker_id="d1", network=self.wires.process("worker"))
+        self.wires = MemoryFabric(rng=random.Random(1))
+        self.store = RowStore(network=self.wires.network_of("store"))
+        self.worker = PlainWorker(
+            worker_id="d1", network=self.wires.network_of("worker")
+        )
         self.clock = LoopClock()
-        self.client = HttpClient(network=self.wires.process("callers"), id_header=None)
+        self.client = HttpClient(
+            network=self.wires.network_of("callers"), id_header=None
+        )
         self.callers = Address(host=HOST, port=8740)
         self.n_requests = 0
 
@@ -56,7 +60,7 @@
         )
         node = RelayNode(
             cfg=cfg,
-            network=self.wires.process("vm-1"),
+            network=self.wires.network_of("vm-1"),
             rng=random.Random(1),
             clock=self.clock,
         )
