--- a/celerytrail/policies/admission.py
+++ b/celerytrail/policies/admission.py
@@ -24,7 +24,7 @@
 MIN_RUNNING_PROBABILITY = 0.002
 # A request isn't checked against a peak that it reaches with a lower probability.
 MIN_PEAK_PROBABILITY = 0.1
-# A forecast that is older is recomputed.
+# A forecast older than this is recomputed.
 FORECAST_LIFE_SECONDS = 0.5
 # The margin's initial value and bounds, in standard deviations of the forecast.
 MARGIN_START = 0.3
--- a/celerytrail/policies/endpointchoice.py
+++ b/celerytrail/policies/endpointchoice.py
@@ -51,7 +51,7 @@
     rng : random.Random
         Breaks ties, so that nodes with the same view don't all choose the same.
     tell : callable
-        Called with an endpoint that broke off a request, to announce it to other nodes.
+        Called with an endpoint that aborted a request, to announce it to other nodes.
     is_connected : callable
         Returns whether an idle connection to an address is open.
     """
@@ -88,7 +88,7 @@
     ) -> None:
         """Record how a request ended at an endpoint.
 
-        A broken-off request is announced to the other nodes. An endpoint may reset all
+        An aborted request is announced to the other nodes. An endpoint may reset all
         requests while its row reports it healthy. Without the announcement each of a
         dozen nodes would find out by a request of its own, which may have run and can't
         be sent again; its caller would not know whether it was executed. Error answers
@@ -104,7 +104,7 @@
             self._tell(endpoint)
 
     def record_peer_failure(self, endpoint: str, now: float) -> None:
-        """Record that an endpoint broke off a request of another node."""
+        """Record that an endpoint aborted a request of another node."""
         self._observe(self._record(endpoint), 1.0, now)
 
     def _observe(self, record: _Record, outcome: float, now: float) -> None:
--- a/celerytrail/policies/moving.py
+++ b/celerytrail/policies/moving.py
@@ -1,7 +1,7 @@
 """Order and timing of the migration of runs off a leaving engine.
 
-An engine is withdrawn two seconds after its notice while half a dozen drafts run on it,
-and its link can just about carry them in that time. Copies queue on the link. If all
+An engine is withdrawn two seconds after its notice while half a dozen runs are on it,
+and its link can barely transfer them in that time. Copies queue on the link. If all
 migrations started at once, the final copy of a run, during which the run makes no
 progress, would wait behind the first copies of all others.
 """
@@ -20,7 +20,7 @@
 # Time that the first run in the queue has to start its move, in seconds. Its node
 # learns that the engine leaves within 0.1 s of this one and announces the move at once.
 START_TIMEOUT_SECONDS = 0.2
-# Multiple of its estimated duration after which a copy no longer holds up the next.
+# Multiple of its estimated duration after which a copy no longer delays the next.
 LATE_FACTOR = 1.5
 # Loss if a run is not moved, in prompt tokens: a fixed part for each run, and a weight
 # for each token of output, whose decode takes as long as the prefill of ten or more
--- a/celerytrail/policies/placing.py
+++ b/celerytrail/policies/placing.py
@@ -1,8 +1,8 @@
 """Choice of the engine that runs a generation, and of the one that keeps its backup.
 
-The workload: drafts with some thousand prompt tokens arrive in bursts at many nodes at
-once. Each occupies memory until it ends, and concurrent prefills on one engine slow
-down every token that the engine makes.
+The workload: generations with some thousand prompt tokens arrive in bursts at many
+nodes at once. Each occupies memory until it ends, and concurrent prefills on one engine
+slow down every token that the engine makes.
 """
 
 from __future__ import annotations
@@ -132,10 +132,10 @@
 
     In a burst, or while one of few engines is missing, prompts arrive faster than they
     are read. Placed by free memory alone they would queue at the engines, and each
-    would delay the first token of all behind it: one second of burst would have an
-    effect for ten. A prompt that finds no short queue waits at the node instead, where
-    any engine may still take it, and is refused in time. An engine without a prefill
-    in progress accepts any prompt.
+    would delay the first token of all behind it: one second of burst would delay
+    answers for ten seconds. A prompt that finds no short queue waits at the node
+    instead, where any engine may still take it, and is refused in time. An engine
+    without a prefill in progress accepts any prompt.
     """
     if load.n_prefill_tokens == 0:
         return True
--- a/celerytrail/policies/renewal.py
+++ b/celerytrail/policies/renewal.py
@@ -1,4 +1,4 @@
-"""Time limits for the steps by which a node renews its replica of a table.
+"""Bounds on the duration of the steps that renew a node's replica of a table.
 
 A renewal takes several steps: a long poll waits for changes, its source may be silent,
 and another source is asked. Each step is limited by the age that the replica has
--- a/celerytrail/policies/retries.py
+++ b/celerytrail/policies/retries.py
@@ -103,7 +103,7 @@
             return not_run
         delay = self._delay(n_attempts, not_run.retry_after)
         if now + delay >= deadline:
-            # A wait until near the deadline would only delay the refusal. With it, the
+            # A wait until near the deadline would only delay the refusal. A refused
             # caller can go elsewhere now, or come back after ``retry_after``.
             return not_run
         self._budgets[key] = budget - 1.0
--- a/celerytrail/policies/scheduler.py
+++ b/celerytrail/policies/scheduler.py
@@ -33,7 +33,7 @@
 # After the head of the line has been bypassed for this long, nothing is granted before
 # it.
 MAX_BYPASS_SECONDS = 2.0
-# Interval at which grants without any sign of life are ended.
+# Interval at which grants without recent progress or report are ended.
 SWEEP_SECONDS = 5.0
 
 
--- a/celerytrail/policies/shedding.py
+++ b/celerytrail/policies/shedding.py
@@ -59,7 +59,7 @@
 
 
 class ShedByWait(SheddingPolicy):
-    """Refuses requests whose expected wait exceeds their deadline.
+    """Refuses requests that can't be expected to be served before their deadline.
 
     The wait follows from the backlog and the rate at which the queue drains.
 
--- a/celerytrail/policies/stopping.py
+++ b/celerytrail/policies/stopping.py
@@ -15,10 +15,10 @@
 def can_finish(facts: RequestMetadata, now: float, killed_at: float) -> bool:
     """Return whether a generation certainly ends before its node is killed.
 
-    Callers continue to use open connections to a node that stops. A draft accepted in
-    the last seconds would be cut off when the process is killed, and can't be started
-    again. If it is refused as not run, its caller gets it whole from another node. The
-    estimate uses the limit on the output, as hints are often far off.
+    Callers continue to use open connections to a node that stops. A generation
+    accepted in the last seconds would be cut off when the process is killed, and can't
+    be started again. If it is refused as not run, its caller gets it whole from another
+    node. The estimate uses the limit on the output, as hints are often far off.
     """
     if facts.n_max_tokens <= 0:
         return False
--- a/celerytrail/relay/calls.py
+++ b/celerytrail/relay/calls.py
@@ -17,7 +17,7 @@
 from .registry import Registry
 
 # Share of the target after which a repeatable request is also sent to a second
-# endpoint. Most answers take a sixth of the target, and the rest is enough for another.
+# endpoint. Most answers take a sixth of the target, so the rest suffices for a second.
 HEDGE_SHARE = 0.45
 # Connect timeout before another endpoint is tried, in seconds.
 CONNECT_SECONDS = 0.25
--- a/celerytrail/relay/generations.py
+++ b/celerytrail/relay/generations.py
@@ -335,7 +335,7 @@
 
         It gets no new backup. When an engine leaves, several runs resume at the same
         moment; copying all of them again in full would keep the links busy until the
-        engine is gone, and the runs that still have to be moved would be lost.
+        engine has stopped, and the runs that still have to be moved would be lost.
         """
         self._run_mover.free_backup(live, reg)
         live.backup = None
--- a/celerytrail/relay/handler.py
+++ b/celerytrail/relay/handler.py
@@ -25,7 +25,7 @@
 OTHER_NODE_RETRY_SECONDS = 0.1
 # Retry-After when no other node serves, in seconds: the store is then unavailable to
 # all nodes, and outages last seconds. With a short value callers used up their tries
-# during the outage, and a third of them were refused for good.
+# during the outage, and a third of their requests were refused on the last try.
 OUTAGE_RETRY_SECONDS = 2.0
 # The least urgent priority that engines accept.
 MAX_PRIORITY = 9
--- a/celerytrail/relay/liverun.py
+++ b/celerytrail/relay/liverun.py
@@ -84,7 +84,7 @@
         self.is_resuming = False
         self.is_complete = False
         self.move: asyncio.Task[Copied | Switched | None] | None = None
-        # Set while the current engine has sent at least one event.
+        # Set once the current engine has sent an event.
         self.started = asyncio.Event()
         self._first_event_at = 0.0
         self._last_event_at = 0.0
--- a/celerytrail/relay/node.py
+++ b/celerytrail/relay/node.py
@@ -68,8 +68,8 @@
 # Pause between two requests for the configuration, in seconds.
 CONFIG_PAUSE_SECONDS = 0.0
 # Pause between two requests for the endpoints' rows, in seconds. Heartbeats change them
-# many times a second, and each request is a priced call. An engine announces in its row
-# that it leaves two seconds ahead.
+# many times a second, and each request is a priced call. An engine announces in its
+# row, two seconds ahead, that it leaves.
 REGISTRATION_PAUSE_SECONDS = 0.1
 # The same until a node has found a reader to follow, in seconds. After a loss of all
 # VMs every node calls the store itself for a second or two.
@@ -560,7 +560,7 @@
                 self.nodes.set_serving(self.is_ready)
 
     async def _enter_store(self) -> None:
-        """Enter this node in the store, and read the other nodes' addresses there."""
+        """Write this node's row to the store, and read the other nodes' addresses."""
         self.nodes.set_vm_addresses(await self._node_rows.enter())
 
 
--- a/celerytrail/relay/peerupdates.py
+++ b/celerytrail/relay/peerupdates.py
@@ -17,7 +17,7 @@
 from ..policies.runlistschedule import MIN_LIST_PERIOD_SECONDS, RunListSchedule
 from ..types import Address
 
-# Largest relative deviation of the time to the next full update from its period, so
+# Largest relative deviation of the time to the next run list from its period, so
 # that nodes that started together don't send at the same moments.
 PERIOD_JITTER = 0.2
 # Keeps a datagram below 1,200 bytes.
@@ -53,7 +53,7 @@
     ``is_complete`` says that ``runs`` are all runs of the sender. ``ended`` holds run
     ids, ``leaving`` engines that are about to leave, ``retried`` services at which the
     sender made a retry, and ``aborted`` endpoints that aborted its requests.
-    ``period_seconds`` is the time to the sender's next full update.
+    ``period_seconds`` is the time to the sender's next run list.
     """
 
     node: str
@@ -87,7 +87,7 @@
     on_aborted : callable
         Called with an endpoint that aborted another node's request.
     rng : random.Random
-        Source of the jitter between full updates.
+        Source of the jitter between run lists.
     """
 
     def __init__(
@@ -111,7 +111,7 @@
         self._on_aborted = on_aborted
         self._rng = rng
         self._list_schedule = RunListSchedule()
-        # Sent with each update, so that no receiver forgets a run before the next one.
+        # Sent with each update, so that no run expires at a receiver before the next.
         self._period_seconds = MIN_LIST_PERIOD_SECONDS
         self._transport: asyncio.DatagramTransport | None = None
         self._decoder = msgspec.msgpack.Decoder(NodeUpdate)
@@ -139,7 +139,7 @@
 
     @property
     def period_seconds(self) -> float:
-        """Return the time between two full updates of this node, in seconds."""
+        """Return the time between two run lists of this node, in seconds."""
         return self._period_seconds
 
     def announce_run(self, run: Run) -> None:
@@ -149,7 +149,7 @@
         self._send(self._make_update([run]))
 
     def record_progress(self, run: Run) -> None:
-        """Record the progress of a run, which the next full update carries."""
+        """Record the progress of a run, which the next run list carries."""
         self._decode_times.record_progress(run, self._now())
         self._loads.put_run(self._node, run, self._now())
 
--- a/celerytrail/relay/runmover.py
+++ b/celerytrail/relay/runmover.py
@@ -19,9 +19,9 @@
 from .liverun import Copied, LiveRun, Switched
 from .registry import Registry
 
-# Engines that may refuse a run before it stays where it is.
+# Engines that may refuse a run before its move is abandoned.
 MAX_REFUSALS = 3
-# Time limit for the copies of a run, in seconds; copies that take longer aren't worth
+# Timeout of the copies of a run, in seconds; copies that take longer aren't worth
 # waiting for.
 COPY_TIMEOUT_SECONDS = 4.0
 # Interval between two checks whether it is a run's turn to be moved, in seconds.
@@ -31,9 +31,9 @@
 BACKUP_READY_SECONDS = 0.3
 # How much older an engine's report may be than the answer that carries it, in seconds.
 REPORT_LAG_SECONDS = 0.55
-# Time limit for a leaving engine to report when it shuts down, in seconds.
+# Timeout for reading a leaving engine's shutdown time, in seconds.
 REPORT_TIMEOUT_SECONDS = 0.3
-# Time limit for freeing a copy, in seconds.
+# Timeout for freeing a copy, in seconds.
 FREE_TIMEOUT_SECONDS = 0.5
 # Attempts to switch to a backup that isn't usable yet, and the pause between them, in
 # seconds.
--- a/celerytrail/relay/tablemirror.py
+++ b/celerytrail/relay/tablemirror.py
@@ -1,4 +1,4 @@
-"""Keeps this node's copy of a table, and serves it to the nodes that follow it."""
+"""Keeps this node's replica of a table, and serves it to the nodes that follow it."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 # Changes kept for followers; one that lags further reads the whole table.
 MAX_CHANGES = 512
-# A shorter wait is skipped, in seconds: timers are no finer.
+# A wait shorter than this, in seconds, is skipped: timers are no finer.
 MIN_WAIT_SECONDS = 0.001
 
 
