--- a/celerytrail/callers/api.py
+++ b/celerytrail/callers/api.py
@@ -172,7 +172,7 @@
         """Cancel the background tasks.
 
         Generations that are waiting for their callers to resume are not cancelled here:
-        engines cancel generations that nobody reads.
+        engines cancel generations whose output is not read.
         """
         self._tasks.close()
 
--- a/celerytrail/callers/service_api.py
+++ b/celerytrail/callers/service_api.py
@@ -49,7 +49,7 @@
     clock : Clock
         Its monotonic time must be the event loop's.
     call_seconds : float
-        Time limit of a call whose caller sets no deadline, in seconds; also the
+        Timeout of a call whose caller sets no deadline, in seconds; also the
         latest deadline that a caller may set.
     """
 
--- a/celerytrail/exceptions.py
+++ b/celerytrail/exceptions.py
@@ -12,7 +12,7 @@
 
 
 class SettingsError(CelerytrailError):
-    """The settings are invalid; whoever starts the process must correct them.
+    """The settings are invalid; the operator must correct them.
 
     Parameters
     ----------
--- a/celerytrail/leaving.py
+++ b/celerytrail/leaving.py
@@ -9,7 +9,7 @@
 from eliot import log_message
 
 LeavingSource = Literal["vm_list", "report", "document", "gossip"]
-# How often a repeated notice is announced again, as other nodes' copies expire.
+# Interval at which a repeated notice is announced again, as it expires at other nodes.
 REANNOUNCE_SECONDS = 30.0
 
 LeavingSubscriber = Callable[["LeavingNotice"], None]
--- a/celerytrail/nodes/admitters.py
+++ b/celerytrail/nodes/admitters.py
@@ -188,7 +188,7 @@
     async def _ask_home(
         self, home: Member, pool: Pool, req: AdmitRequest
     ) -> Grant | NotRun | None:
-        """Ask one home; return None where it is lost or isn't the home."""
+        """Ask one home; return None if it is unreachable or isn't the home."""
         if home.node == self._nodes.me.node:
             own_home = self._homes.home_for(pool.key)
             answer = (
--- a/celerytrail/nodes/gossip.py
+++ b/celerytrail/nodes/gossip.py
@@ -37,7 +37,7 @@
     metrics : Metrics
         Counts bytes and dropped datagrams.
     tick_seconds : float
-        Between two steps.
+        Time between two steps.
     on_event : callable
         Called with each event.
     network : Network or None
--- a/celerytrail/nodes/homes.py
+++ b/celerytrail/nodes/homes.py
@@ -1,4 +1,4 @@
-"""Pools that this node is the home of, and the routes by which entry nodes ask it."""
+"""Pools whose home this node is, and the routes for the requests of entry nodes."""
 
 from __future__ import annotations
 
@@ -36,7 +36,7 @@
 from .view import NodesView, Ranking
 
 # A node acts as home where it ranks first or second in its own view. An entry node that
-# has just lost the first asks the second, which may not have detected the loss yet. If
+# can't reach the first asks the second, which may not have detected the failure yet. If
 # the second refused, there would be no home for the seconds until the views agree.
 N_ELIGIBLE_HOMES = 2
 IDLE_HOME_SECONDS = 30.0
@@ -154,7 +154,7 @@
             home.set_engines(self._engine_specs(self.pools[key]))
 
     def reports(self) -> dict[str, TimestampedReport]:
-        """Return the last report of each engine in the pools that this node leads."""
+        """Return the last report of each engine in pools whose home this node is."""
         return {
             name: TimestampedReport(report=view.report, at=view.reported_at)
             for key in self._led_pools & self._homes.keys()
@@ -233,7 +233,7 @@
         ]
 
     def _sweep(self) -> None:
-        """Close unused homes of pools that other nodes lead, then refresh all."""
+        """Close unused homes of pools that have another home, then refresh all."""
         loop = asyncio.get_running_loop()
         self._sweep_timer = loop.call_later(SWEEP_INTERVAL_SECONDS, self._sweep)
         now = self._clock.monotonic()
--- a/celerytrail/nodes/membership.py
+++ b/celerytrail/nodes/membership.py
@@ -274,7 +274,7 @@
     def _contact(self) -> None:
         """Ping one node that is dead or unknown.
 
-        After a partition between regions each side holds the other dead. Without
+        After a partition between regions each side considers the other dead. Without
         occasional pings to dead members the two halves would never merge. The same
         pings join groups of nodes that started with different seeds.
         """
--- a/celerytrail/nodes/membershipstate.py
+++ b/celerytrail/nodes/membershipstate.py
@@ -21,7 +21,7 @@
 # A refutation raises the incarnation by one, a restart by the milliseconds since the
 # last start. So a rise below this is a refutation.
 MAX_REFUTATION_RISE = 1_000
-# Between two removals of expired entries; none of them is urgent.
+# Time between two removals of expired entries; none of them is urgent.
 SWEEP_SECONDS = 0.5
 
 
@@ -40,7 +40,7 @@
     me : Member
         This node.
     suspicion_seconds : float
-        From suspicion to death.
+        Time from suspicion to death.
     dead_retention_seconds : float
         How long a dead member is kept in the table.
     recent_seconds : float
@@ -182,7 +182,7 @@
         """Treat another node's report that a member is dead as a suspicion only.
 
         When a partition between regions heals, each side reports the other as dead. If
-        such reports were accepted, all nodes would hold all members dead at once; a
+        such reports were accepted, all nodes would consider all members dead at once; a
         suspicion gives each member the time to refute it. A member that was leaving
         is accepted as dead.
         """
@@ -246,7 +246,7 @@
         self.events.append(MemberChanged(member=member, is_refuted=is_refuted))
 
     def _refute(self, incarnation: int, state: State) -> None:
-        """Announce this node anew if another node's view overrides its own."""
+        """Refute another node's view that overrides this node's own state."""
         me = self.me
         if (incarnation, state) > (me.incarnation, me.state):
             self.announce_self(incarnation + 1, me.state)
--- a/celerytrail/nodes/mismatches.py
+++ b/celerytrail/nodes/mismatches.py
@@ -27,7 +27,7 @@
         return now - former[2]
 
     def forget(self, peer: str) -> None:
-        """Restart the time of a peer."""
+        """Discard a peer's pair of digests, so that its time starts again."""
         self._unchanged_since.pop(peer, None)
 
     def keep(self, peers: Container[str]) -> None:
--- a/celerytrail/nodes/poolhome.py
+++ b/celerytrail/nodes/poolhome.py
@@ -105,8 +105,8 @@
         fut: asyncio.Future[AdmitAnswer] = asyncio.get_running_loop().create_future()
         former = self._pending.pop(req.request_id, None)
         if former is not None and not former.done():
-            # Its entry node asks again, so nobody awaits the answer to the former
-            # request.
+            # The entry node has sent the request again and no longer waits for the
+            # answer to the former one.
             former.set_result(AdmitAnswer())
         self._pending[req.request_id] = fut
         self._resolve(self.scheduler.submit(req, now))
@@ -195,7 +195,7 @@
             fut = self._pending.get(decision.request_id)
             if fut is None or fut.done():
                 if isinstance(decision, Granted):
-                    # Nobody awaits the grant any more, so its place is freed.
+                    # No request waits for the grant any more, so its place is freed.
                     now = self._clock.monotonic()
                     self.scheduler.finish(decision.grant.grant_id, 0, "cancelled", now)
                 continue
--- a/celerytrail/nodes/table.py
+++ b/celerytrail/nodes/table.py
@@ -98,7 +98,7 @@
         """Record that an endpoint leaves; of one departure the earliest time wins.
 
         Its removal is scheduled once, on the monotonic clock, so that a later jump of
-        the wall clock does not make this node forget a leaving endpoint.
+        the wall clock does not make this node remove a leaving endpoint early.
 
         Returns
         -------
--- a/celerytrail/nodes/timing.py
+++ b/celerytrail/nodes/timing.py
@@ -12,17 +12,18 @@
     Parameters
     ----------
     tick_seconds : float
-        Between two steps of the state machine; updates are sent at most that often.
+        Time between two steps of the state machine; also the minimum time between
+        two sends of updates.
     probe_seconds : float
-        Between two probes of the same member.
+        Time between two probes of the same member.
     resend_seconds : float
-        Between two pings of one probe.
+        Time between two pings of one probe.
     probe_timeout_seconds : float
-        From a probe's first ping to suspicion.
+        Time from a probe's first ping to suspicion.
     suspicion_seconds : float
-        From suspicion to death, in which the member can refute it.
+        Time from suspicion to death, in which the member can refute it.
     contact_seconds : float
-        Between two pings to a dead or unknown node.
+        Time between two pings to a dead or unknown node.
     dead_retention_seconds : float
         How long a dead member is kept in the table and pinged.
     resend_recent_after_seconds : float
--- a/celerytrail/operators/store.py
+++ b/celerytrail/operators/store.py
@@ -161,7 +161,7 @@
         """Accept a document as the version after ``base_version``.
 
         The order of the writes makes a console crash safe at any step: first the
-        objects, which nobody reads before a head refers to them, then the head and
+        objects, which aren't read before a head refers to them, then the head and
         history rows in one transaction. A retry with the same operation id is safe
         and resolves an earlier attempt that ended in doubt.
         """
--- a/celerytrail/orders/leases.py
+++ b/celerytrail/orders/leases.py
@@ -115,7 +115,7 @@
     holder : str
         The name of this process; begins the id of each acquisition.
     clock : Clock
-        Its monotonic time must be the loop's.
+        Its monotonic time must be the event loop's.
     rng : random.Random
         Draws the random part of the ids of acquisitions.
     """
--- a/celerytrail/orders/pacing.py
+++ b/celerytrail/orders/pacing.py
@@ -71,7 +71,7 @@
                 case Err(Unavailable() as failure):
                     return Err(failure)
                 case _:
-                    # A slot that may have been reserved stays unused: no harm.
+                    # A slot that may have been reserved stays unused, without harm.
                     return Err(Unavailable(reason="in_doubt"))
         return Err(Unavailable(reason="contended"))
 
--- a/celerytrail/orders/reconciler.py
+++ b/celerytrail/orders/reconciler.py
@@ -104,7 +104,7 @@
     http : HttpClient
         Sends orders.
     clock : Clock
-        Its monotonic time must be the loop's.
+        Its monotonic time must be the event loop's.
     rng : random.Random
         Adds jitter to the steps and draws order ids.
     metrics : Metrics or None
--- a/celerytrail/status.py
+++ b/celerytrail/status.py
@@ -1,4 +1,4 @@
-"""The status report of a node for operators: ``GET /peer/v1/status``."""
+"""The status of a node for operators: ``GET /peer/v1/status``."""
 
 from __future__ import annotations
 
--- a/celerytrail/vmwatch.py
+++ b/celerytrail/vmwatch.py
@@ -15,7 +15,7 @@
 from .nodes.nodes import Nodes
 from .platform.vms import Vm, VmList, node_addresses
 
-# The least interval between two reads by one node, and the interval for each live
+# Minimum interval between two reads by one node, and the interval for each live
 # node, in seconds. What one node reads is announced to all, so all nodes together read
 # at most twice a second: with 2,000 endpoints of 300 bytes, 3.6 KB/s for each of 330
 # nodes.
--- a/celerytrail/wiring.py
+++ b/celerytrail/wiring.py
@@ -381,7 +381,7 @@
 
 
 def make_status(context: NodeContext, nodes: Nodes, sync: ConfigSync) -> NodeStatus:
-    """Create the status report for operators."""
+    """Create the component that serves the node's status to operators."""
     return NodeStatus(
         nodes=nodes,
         sync=sync,
